--- a/bench/limits.cpp
+++ b/bench/limits.cpp
@@ -48,17 +48,17 @@
  private:
   void tell(TimePoint now) {
     const routing::LimitedTargetsOptions options;
-    const double planned = std::max(options.share * run_.limit, options.least_rate);
+    const double planned = std::max(options.share * run_.limit, options.min_rate);
     for (LimitedTargets& router : routers_) {
-      router.on_told(now, now, {{kTarget, run_.limit, true, std::min(1.0, planned / run_.demand)}},
-                     true);
+      router.on_leader_list(
+          now, now, {{kTarget, run_.limit, true, std::min(1.0, planned / run_.demand)}}, true);
     }
   }
   void ask(TimePoint now) {
     LimitedTargets& router = routers_[common::uniform(random_, 0, routers_.size() - 1)];
     ++asked_;
     const auto admitted = router.admits(now, kTarget, random_);
-    if (!admitted.value_or(router.has_part(now, kTarget, run_.routers, random_))) {
+    if (!admitted.value_or(router.has_share(now, kTarget, run_.routers, random_))) {
       return;
     }
     router.on_sent(now, kTarget, run_.routers);
--- a/bench/overload.cpp
+++ b/bench/overload.cpp
@@ -19,10 +19,10 @@
     Way{"own time",
         [](sim::OverloadOptions& options) {
           options.router.queue_bound = 0;
-          options.router.crowded_owners.holds = false;
+          options.router.crowded_owners.is_enabled = false;
         }},
     Way{"common bound",
-        [](sim::OverloadOptions& options) { options.router.crowded_owners.holds = false; }},
+        [](sim::OverloadOptions& options) { options.router.crowded_owners.is_enabled = false; }},
     Way{"leader", [](sim::OverloadOptions& /*options*/) {}},
 };
 
--- a/src/controller/core/fleet_limits.cpp
+++ b/src/controller/core/fleet_limits.cpp
@@ -6,14 +6,14 @@
   for (const routing::LimitReport& report : reports) {
     const common::Duration age(static_cast<common::Duration::rep>(report.age_us));
     const bool is_sane = age >= common::Duration(0) && age <= options_.memory &&
-                         (!report.holds || report.per_second >= 0);
+                         (!report.is_limited || report.per_second >= 0);
     if (!is_sane) {
       continue;
     }
     const common::TimePoint at = now - age;
     const auto [found, is_new] = heard_.try_emplace(report.backend);
     if (is_new || at >= found->second.at) {
-      found->second = {report.holds ? std::optional(report.per_second) : std::nullopt, at};
+      found->second = {report.is_limited ? std::optional(report.per_second) : std::nullopt, at};
     }
   }
 }
--- a/src/controller/core/fleet_limits.hpp
+++ b/src/controller/core/fleet_limits.hpp
@@ -16,7 +16,7 @@
 struct FleetLimitsOptions {
   /// Limits told to routers at most, for about 20 bytes each in every update; beyond them each
   /// router keeps to what it has heard itself.
-  std::size_t most_told = routing::kMostLimits;
+  std::size_t most_told = routing::kMaxLimits;
   /// A limit that no router has heard again for this long is forgotten: its back end has hardly any
   /// requests, and would otherwise get none for good.
   common::Duration memory = std::chrono::seconds(20);
--- a/src/controller/core/fleet_suspects.cpp
+++ b/src/controller/core/fleet_suspects.cpp
@@ -28,21 +28,21 @@
       continue;
     }
     const bool is_news =
-        ledger_.take({report.digest, report.backend, before(now, report.sent_age_us),
-                      before(now, report.ended_age_us)});
+        ledger_.record_crash({report.digest, report.backend, before(now, report.sent_age_us),
+                              before(now, report.ended_age_us)});
     if (is_news) {
       blocked.push_back({report.digest, 0, {}});
     }
   }
   for (const routing::AnsweredSuspect& answered : hello.suspects_answered) {
     if (answered.age_us <= kOldestUs) {
-      ledger_.forgive(answered.digest, before(now, answered.age_us), true);
+      ledger_.record_answer(answered.digest, before(now, answered.age_us), true);
     }
   }
   for (const routing::SuspectRequest& listed : hello.suspects_listed) {
     const auto left = std::chrono::milliseconds(listed.blocked_for_ms);
     if (listed.digest != 0 && left <= kLongestListed) {
-      ledger_.adopt(now, {listed.digest, listed.crashes, now + left});
+      ledger_.import_suspect(now, {listed.digest, listed.crashes, now + left});
     }
   }
   for (routing::CrashSuspect& suspect : blocked) {
@@ -57,10 +57,10 @@
 
 std::vector<routing::SuspectRequest> FleetSuspects::told(common::TimePoint now) const {
   std::vector<routing::CrashSuspect> suspects = ledger_.suspects();
-  if (suspects.size() > routing::kMostSuspects) {
-    std::partial_sort(suspects.begin(), suspects.begin() + routing::kMostSuspects, suspects.end(),
+  if (suspects.size() > routing::kMaxSuspects) {
+    std::partial_sort(suspects.begin(), suspects.begin() + routing::kMaxSuspects, suspects.end(),
                       [](const auto& a, const auto& b) { return a.crashes > b.crashes; });
-    suspects.resize(routing::kMostSuspects);
+    suspects.resize(routing::kMaxSuspects);
   }
   std::vector<routing::SuspectRequest> told;
   for (const routing::CrashSuspect& suspect : suspects) {
--- a/src/controller/core/owner_admission.cpp
+++ b/src/controller/core/owner_admission.cpp
@@ -60,9 +60,9 @@
   queue.is_crowded = queue.part < 1.0 || excess > 0;
 }
 
-std::vector<routing::AdmittedPart> OwnerAdmission::told() const {
+std::vector<routing::AdmittedShare> OwnerAdmission::told() const {
   constexpr double kPermille = 1000.0;
-  std::vector<routing::AdmittedPart> parts;
+  std::vector<routing::AdmittedShare> parts;
   for (const auto& [id, queue] : queues_) {
     if (queue.part < 1.0) {
       parts.push_back({id, static_cast<std::uint32_t>(std::lround(queue.part * kPermille))});
--- a/src/controller/core/owner_admission.hpp
+++ b/src/controller/core/owner_admission.hpp
@@ -33,7 +33,7 @@
   /// An owner of which nothing was heard for this long is forgotten.
   common::Duration memory = std::chrono::milliseconds(4000);
   /// Crowded owners told to routers at most.
-  std::size_t most_told = routing::kMostCrowded;
+  std::size_t most_told = routing::kMaxCrowdedOwners;
 };
 
 class OwnerAdmission {
@@ -50,7 +50,7 @@
   /// Works the parts out anew from what came since the last call.
   void fold(common::TimePoint now, const std::function<Owner(common::BackendId)>& owner_of);
   /// The crowded owners, those with the smallest parts first where there are too many.
-  std::vector<routing::AdmittedPart> told() const;
+  std::vector<routing::AdmittedShare> told() const;
 
  private:
   struct Queue {
--- a/src/controller/core/range_controller.hpp
+++ b/src/controller/core/range_controller.hpp
@@ -85,7 +85,7 @@
     backoffs_.take(now, hello);
   }
   /// Owners whose queues are too long, where that was worked out anew since the last call.
-  std::optional<std::vector<routing::AdmittedPart>> take_crowded() {
+  std::optional<std::vector<routing::AdmittedShare>> take_crowded() {
     return std::exchange(crowded_, std::nullopt);
   }
   /// Takes what a router has heard of limits that back ends name.
@@ -181,7 +181,7 @@
   FleetLimits limits_;
   FleetBackoffs backoffs_;
   OwnerAdmission admission_;
-  std::optional<std::vector<routing::AdmittedPart>> crowded_;
+  std::optional<std::vector<routing::AdmittedShare>> crowded_;
   ownership::Capacities capacities_;  ///< as of the last fold of loads
   common::LogIndex planned_state_;
   TimePoint next_plan_;
--- a/src/controller/core/table_distributor.cpp
+++ b/src/controller/core/table_distributor.cpp
@@ -138,7 +138,7 @@
   update.current_index = state.applied();
   update.as_of_clock_us = as_of_clock_us(subscriber, now);
   update.limits = limits_.limits;
-  update.limits_are_whole = limits_.is_whole;
+  update.limits_are_complete = limits_.is_whole;
   update.suspects = suspects_;
   update.queues_are_known = crowded_.has_value();
   if (crowded_.has_value()) {
--- a/src/controller/core/table_distributor.hpp
+++ b/src/controller/core/table_distributor.hpp
@@ -90,7 +90,7 @@
   /// What every update says of limits that back ends name, from now on.
   void set_limits(FleetLimits::Told limits) { limits_ = std::move(limits); }
   /// The same for owners whose queues are too long; in this term it is known from now on.
-  void set_crowded(std::vector<routing::AdmittedPart> crowded) { crowded_ = std::move(crowded); }
+  void set_crowded(std::vector<routing::AdmittedShare> crowded) { crowded_ = std::move(crowded); }
   /// What every update says of requests that crash their targets, from now on.
   void set_suspects(std::vector<routing::SuspectRequest> suspects) {
     suspects_ = std::move(suspects);
@@ -163,7 +163,7 @@
   DistributorOptions options_;
   FleetLimits::Told limits_;
   std::vector<routing::SuspectRequest> suspects_;
-  std::optional<std::vector<routing::AdmittedPart>> crowded_;
+  std::optional<std::vector<routing::AdmittedShare>> crowded_;
   common::Term term_;
   common::TimePoint term_began_;
   std::map<common::RouterName, Subscriber> subscribers_;
--- a/src/router/core/router_core_answers.cpp
+++ b/src/router/core/router_core_answers.cpp
@@ -25,10 +25,10 @@
 
 void RouterCore::on_reach_checked(TimePoint now, BackendId backend, std::optional<bool> listens) {
   if (listens.value_or(true)) {
-    return suspects_.on_alive(backend);
+    return suspects_.on_target_alive(backend);
   }
   ++counters_.crashes_seen;
-  if (suspects_.on_gone(now, backend)) {
+  if (suspects_.on_target_gone(now, backend)) {
     hasten_hello(now);
   }
 }
@@ -63,7 +63,7 @@
                                        const AttemptResult& result) {
   const routing::BackendRoute* backend = table_.find_backend(attempt.backend);
   if (!result.is_leaving || backend == nullptr ||
-      !stated_departures_.on_said(now, attempt.backend) || !backend->takes_work()) {
+      !stated_departures_.on_stated(now, attempt.backend) || !backend->takes_work()) {
     return;
   }
   ++counters_.stated_departures;
--- a/src/router/core/router_core_routed.cpp
+++ b/src/router/core/router_core_routed.cpp
@@ -12,7 +12,7 @@
 using routing::NotRunReason;
 using routing::Outcome;
 using routing::Refusal;
-using routing::TableStanding;
+using routing::TableStatus;
 
 /// A request that waits for a target looks again this often.
 constexpr Duration kLookAgain = std::chrono::milliseconds(20);
@@ -35,14 +35,14 @@
   if (!has_routes()) {
     return refuse(NotRunReason::kNotServing, false, spread(options_.unavailable_retry_after));
   }
-  const TableStanding standing = freshness_.standing(now);
-  if (standing == TableStanding::kTooOld) {
+  const TableStatus status = freshness_.status(now);
+  if (status == TableStatus::kTooOld) {
     // A newer table may be acknowledged already: neither a route nor its absence is known.
     ++counters_.stale_refusals;
     hasten_hello(now);
     return refuse(NotRunReason::kTableTooOld, false, options_.short_retry_after);
   }
-  const bool is_final = standing == TableStanding::kCurrent;
+  const bool is_final = status == TableStatus::kCurrent;
   const config::Route* route = table_.routes().find(caller.route->host, caller.route->path);
   if (route == nullptr) {
     return is_final ? refuse(NotRunReason::kUnknownRoute, true, Duration(0))
@@ -121,7 +121,7 @@
     return answer_not_run(request, NotRunReason::kNoTarget, kRetryAfterUnavailable);
   }
   const Duration passing = send_window_.passing_time(request.caller.body_bytes);
-  if (freshness_.standing(now, passing) == TableStanding::kTooOld) {
+  if (freshness_.status(now, passing) == TableStatus::kTooOld) {
     // Its target may be leaving by now. A request that had a place waits for the next word.
     hasten_hello(now);
     return wait_routed(now, request, NotRunReason::kTableTooOld);
@@ -145,7 +145,7 @@
     }
     return wait_routed(now, request, ownerless ? NotRunReason::kNoOwner : NotRunReason::kNoTarget);
   }
-  request.expected = routed_service(request.service).targets.projected(now, *target);
+  request.expected = routed_service(request.service).targets.expected_latency(now, *target);
   if (*request.expected > usable_time(now, request, *service)) {
     return wait_routed(now, request, NotRunReason::kOverload);
   }
@@ -170,7 +170,7 @@
     return std::chrono::duration_cast<Duration>(whole * share);
   };
   const Duration own = part(request.deadline - now, options_.usable_time);
-  const bool is_bounded_by_leader = request.keyed && crowded_.is_told(now);
+  const bool is_bounded_by_leader = request.keyed && crowded_.has_current_list(now);
   if (options_.queue_bound <= 0 || is_bounded_by_leader ||
       !service.shortest_objective.has_value()) {
     return own;
--- a/src/router/core/router_core_table.cpp
+++ b/src/router/core/router_core_table.cpp
@@ -142,15 +142,15 @@
                                        std::chrono::milliseconds(update.hello_interval_ms));
   const std::uint32_t count = std::max<std::uint32_t>(1, update.router_count);
   const bool changed = update.router_rank != router_rank_ || count != router_count_;
-  fleet_size_.on_told(now, count);
+  fleet_size_.on_count(now, count);
   if (update.echo_clock_us > 0) {
-    limited_.on_told(now, common::from_microseconds(update.echo_clock_us), update.limits,
-                     update.limits_are_whole);
+    limited_.on_leader_list(now, common::from_microseconds(update.echo_clock_us), update.limits,
+                            update.limits_are_complete);
     if (update.queues_are_known) {
-      crowded_.on_told(now, update.crowded);
+      crowded_.on_leader_list(now, update.crowded);
     }
-    suspects_.on_told(now, common::from_microseconds(update.echo_clock_us), update.term,
-                      update.suspects);
+    suspects_.on_leader_list(now, common::from_microseconds(update.echo_clock_us), update.term,
+                             update.suspects);
   }
   router_rank_ = update.router_rank;
   router_count_ = count;
@@ -223,8 +223,8 @@
   hello.table_index = table_.index();
   hello.serving = is_serving(now);
   hello.lacks_update = lacks_update_;
-  hello.limits = limited_.reports(now, routing::kMostLimits);
-  suspects_.report(now, routing::kMostSuspects, hello);
+  hello.limits = limited_.reports(now, routing::kMaxLimits);
+  suspects_.report(now, routing::kMaxSuspects, hello);
   return hello;
 }
 
@@ -276,7 +276,7 @@
 
 void RouterCore::report_backoffs(TimePoint now, routing::RouterHello& hello) const {
   backoffs_.for_each(now, [&](BackendId id, TimePoint end) {
-    if (hello.backoffs.size() < routing::kMostBackoffs) {
+    if (hello.backoffs.size() < routing::kMaxBackoffs) {
       const Duration left = std::min<Duration>(end - now, options_.backoffs.longest);
       hello.backoffs.push_back(
           {id, static_cast<std::uint32_t>(left / std::chrono::milliseconds(1))});
--- a/src/router/core/router_core_targets.cpp
+++ b/src/router/core/router_core_targets.cpp
@@ -29,7 +29,7 @@
   const auto evacuated = evacuations_.find(backend.zone);
   const bool is_evacuated = evacuated != evacuations_.end() && options_.keep_off_evacuated;
   if (!request.keyed) {
-    return backend.draining || stated_departures_.has_said(backend.id) || is_evacuated;
+    return backend.draining || stated_departures_.has_stated(backend.id) || is_evacuated;
   }
   const TimePoint arrival = now + arrival_time(request);
   const auto is_late_for = [arrival](const std::optional<TimePoint>& closes) {
@@ -71,7 +71,7 @@
   }
   const std::optional<bool> admitted = limited_.admits(now, owner, random_);
   if (!admitted.has_value()) {
-    return limited_.has_part(now, owner, fleet_size_.largest(), random_);
+    return limited_.has_share(now, owner, fleet_size_.largest(), random_);
   }
   request.admission = {owner, *admitted};
   return *admitted;
@@ -136,11 +136,11 @@
     for (const BackendId id : candidates) {
       const routing::BackendRoute* route = table_.find_backend(id);
       if (!is_usable(id) || request.refused_by.contains(id) ||
-          !limited_.has_part(now, id, fleet_size_.largest(), random_)) {
+          !limited_.has_share(now, id, fleet_size_.largest(), random_)) {
         continue;
       }
       constexpr double kNoise = 0.2;
-      double cost = static_cast<double>(book.projected(now, id).count());
+      double cost = static_cast<double>(book.expected_latency(now, id).count());
       cost *= 1.0 + kNoise * common::uniform_real(random_);
       cost *= route->zone == options_.zone ? 1.0 : 1.0 + options_.other_zone_cost;
       if (!best.has_value() || cost < best_cost) {
--- a/src/router/core/router_effects.hpp
+++ b/src/router/core/router_effects.hpp
@@ -67,7 +67,7 @@
   bool is_failure = false;  ///< answered, but by a failure of the back end
   std::optional<routing::LoadReport> load = std::nullopt;
   common::Incarnation answered_by{};  ///< who refused, where the answer names it
-  routing::LimitWord limit{};
+  routing::AnswerLimit limit{};
   bool is_leaving = false;  ///< the answer says so of its back end
   /// The back end wants nothing from this router for so long; nothing where it does not say.
   std::optional<Duration> backoff = std::nullopt;
--- a/src/router/core/write_guard.cpp
+++ b/src/router/core/write_guard.cpp
@@ -73,7 +73,7 @@
                                               const routing::TableFreshness& freshness) {
   std::vector<WriteDecision> decisions;
   next_review_ = TimePoint::max();
-  const bool is_cut_off = freshness.standing(now) == routing::TableStanding::kOutOfContact;
+  const bool is_cut_off = freshness.status(now) == routing::TableStatus::kOutOfContact;
   for (auto& [id, attempt] : attempts_) {
     const bool is_leaving = closings_.contains(attempt.backend);
     const TimePoint until = write_until(attempt.backend, freshness).value_or(TimePoint::max());
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -443,7 +443,7 @@
 void RouterProcess::note_contact() {
   const common::TimePoint now = boot_time_now();
   const routing::TableFreshness& freshness = core_.freshness();
-  const bool in_contact = freshness.standing(now) != routing::TableStanding::kOutOfContact;
+  const bool in_contact = freshness.status(now) != routing::TableStatus::kOutOfContact;
   if (in_contact == was_in_contact_) {
     return;
   }
--- a/src/router/settings.cpp
+++ b/src/router/settings.cpp
@@ -63,7 +63,7 @@
       ->check(CLI::Range(0.0, 10.0));
   add_milliseconds(app, "--table-lease-ms", options.table_lease, 100, 600'000,
                    "How long to serve without confirmation; the same in every process");
-  add_milliseconds(app, "--oldest-table-ms", options.freshness.oldest, 0, 600'000,
+  add_milliseconds(app, "--oldest-table-ms", options.freshness.max_age, 0, 600'000,
                    "The oldest table to decide requests on routes with while controllers answer; "
                    "0: any");
   add_milliseconds(app, "--connect-timeout-ms", settings.connect_timeout, 1, 60'000,
--- a/src/routing/crash_ledger.cpp
+++ b/src/routing/crash_ledger.cpp
@@ -4,7 +4,7 @@
 
 namespace planktray::routing {
 
-bool CrashLedger::take(const CrashEvent& event) {
+bool CrashLedger::record_crash(const CrashEvent& event) {
   if (event.digest == 0) {
     return false;
   }
@@ -15,7 +15,7 @@
   const bool is_known_target =
       std::any_of(entry.events.begin(), entry.events.end(),
                   [&](const CrashEvent& other) { return other.backend == event.backend; });
-  const bool is_full = entry.events.size() >= options_.most_events;
+  const bool is_full = entry.events.size() >= options_.max_events;
   if (is_known_target || is_full || event.ended <= entry.forgiven) {
     return false;
   }
@@ -72,7 +72,7 @@
   return row;
 }
 
-bool CrashLedger::forgive(RequestDigest digest, common::TimePoint answered, bool remember) {
+bool CrashLedger::record_answer(RequestDigest digest, common::TimePoint answered, bool remember) {
   if (!entries_.contains(digest)) {
     if (!remember) {
       return false;
@@ -88,7 +88,7 @@
   return was_suspect;
 }
 
-void CrashLedger::adopt(common::TimePoint now, const CrashSuspect& suspect) {
+void CrashLedger::import_suspect(common::TimePoint now, const CrashSuspect& suspect) {
   if (!entries_.contains(suspect.digest)) {
     make_room();
   }
@@ -134,7 +134,7 @@
 }
 
 void CrashLedger::make_room() {
-  if (entries_.size() < options_.most) {
+  if (entries_.size() < options_.max_requests) {
     return;
   }
   const auto oldest =
--- a/src/routing/crash_ledger.hpp
+++ b/src/routing/crash_ledger.hpp
@@ -62,9 +62,9 @@
   /// of the simulator began to be refused in 2,000 runs, all after such a meeting.
   common::Duration spacing = std::chrono::milliseconds(150);
   /// Crashes of one digest that are kept at most; they come in any order from several routers.
-  std::size_t most_events = 16;
+  std::size_t max_events = 16;
   /// Digests that are kept at most; the one whose last crash is oldest goes first.
-  std::size_t most = 512;
+  std::size_t max_requests = 512;
   /// Safeguard; off only in mutants.
   bool in_sequence = true;
 };
@@ -82,13 +82,13 @@
 
   void clear() { entries_.clear(); }
   /// @return true where the request is refused from now on, and was not before.
-  bool take(const CrashEvent& event);
+  bool record_crash(const CrashEvent& event);
   /// The request had a good answer at this moment. @param remember also where no crash of it is
   /// known: older ones may still be reported. @return true where it was a suspect.
-  bool forgive(RequestDigest digest, common::TimePoint answered, bool remember);
+  bool record_answer(RequestDigest digest, common::TimePoint answered, bool remember);
   /// Another ledger, which is lost, knew so many crashes in a row by now, and had it refused until
   /// then.
-  void adopt(common::TimePoint now, const CrashSuspect& suspect);
+  void import_suspect(common::TimePoint now, const CrashSuspect& suspect);
   bool is_blocked(common::TimePoint now, RequestDigest digest) const;
   /// True where one crash more has it refused.
   bool is_suspect(RequestDigest digest) const;
--- a/src/routing/crash_suspects.cpp
+++ b/src/routing/crash_suspects.cpp
@@ -7,8 +7,8 @@
 
 CrashLedgerOptions own_options(const CrashSuspectsOptions& options) {
   CrashLedgerOptions own = options.ledger;
-  own.first_block = options.own_block;
-  own.longest_block = options.own_block;
+  own.first_block = options.local_block;
+  own.longest_block = options.local_block;
   return own;
 }
 
@@ -22,24 +22,24 @@
     : options_(options), ledger_(own_options(options)) {}
 
 bool CrashSuspects::on_connection_ended(const CrashEvent& event) {
-  if (event.digest == 0 || !options_.holds) {
+  if (event.digest == 0 || !options_.is_enabled) {
     return false;
   }
   std::erase_if(pending_, [&](const auto& item) {
     return event.ended - item.second.front().ended > options_.pending_memory;
   });
   std::vector<CrashEvent>& events = pending_[event.backend];
-  if (events.size() < options_.most_kept) {
+  if (events.size() < options_.max_kept) {
     events.push_back(event);
   }
-  if (!options_.asks_whether_gone) {
-    on_gone(event.ended, event.backend);
+  if (!options_.probes_target) {
+    on_target_gone(event.ended, event.backend);
     return false;
   }
   return events.size() == 1;
 }
 
-bool CrashSuspects::on_gone(common::TimePoint now, common::BackendId target) {
+bool CrashSuspects::on_target_gone(common::TimePoint now, common::BackendId target) {
   const auto found = pending_.find(target);
   if (found == pending_.end()) {
     return false;
@@ -49,11 +49,11 @@
   forget_old(now);
   bool completes = false;
   for (const CrashEvent& event : events) {
-    ledger_.take(event);
+    ledger_.record_crash(event);
     own_.push_back({event, {}, false});
     completes = completes || is_suspect(event.digest);
   }
-  while (own_.size() > options_.most_kept) {
+  while (own_.size() > options_.max_kept) {
     own_.pop_front();
   }
   return completes;
@@ -67,23 +67,23 @@
     return std::any_of(item.second.begin(), item.second.end(),
                        [digest](const CrashEvent& event) { return event.digest == digest; });
   };
-  return options_.holds && std::count_if(pending_.begin(), pending_.end(), is_pending) > 1;
+  return options_.is_enabled && std::count_if(pending_.begin(), pending_.end(), is_pending) > 1;
 }
 
 void CrashSuspects::on_answered(common::TimePoint now, RequestDigest digest) {
-  const bool was_own = ledger_.forgive(digest, now, false);
+  const bool was_own = ledger_.record_answer(digest, now, false);
   const bool was_listed = listed_.erase(digest) + inherited_.erase(digest) > 0;
   if (!was_own && !was_listed) {
     return;
   }
   answered_.push_back({{digest, now}, {}, false});
-  if (answered_.size() > options_.most_kept) {
+  if (answered_.size() > options_.max_kept) {
     answered_.pop_front();
   }
 }
 
-void CrashSuspects::on_told(common::TimePoint now, common::TimePoint asked_at, common::Term term,
-                            const std::vector<SuspectRequest>& listed) {
+void CrashSuspects::on_leader_list(common::TimePoint now, common::TimePoint asked_at,
+                                   common::Term term, const std::vector<SuspectRequest>& listed) {
   if (term != term_) {
     term_ = term;
     report_again(own_);
@@ -143,7 +143,7 @@
 }
 
 bool CrashSuspects::is_blocked(common::TimePoint now, RequestDigest digest) const {
-  if (digest == 0 || !options_.holds) {
+  if (digest == 0 || !options_.is_enabled) {
     return false;
   }
   const auto is_in = [&](const List& list) {
@@ -158,7 +158,7 @@
     const auto found = list.find(digest);
     return found != list.end() && found->second.crashes + 1 >= options_.ledger.threshold;
   };
-  return options_.holds && (ledger_.is_suspect(digest) || is_in(listed_) || is_in(inherited_));
+  return options_.is_enabled && (ledger_.is_suspect(digest) || is_in(listed_) || is_in(inherited_));
 }
 
 template <typename What, typename Add>
--- a/src/routing/crash_suspects.hpp
+++ b/src/routing/crash_suspects.hpp
@@ -21,15 +21,15 @@
 struct CrashSuspectsOptions {
   CrashLedgerOptions ledger;
   /// What this router finds alone is refused here for this long: until the leader's list has come.
-  common::Duration own_block = std::chrono::milliseconds(3000);
+  common::Duration local_block = std::chrono::milliseconds(3000);
   /// An end of a connection of which it is not known whether its target ended is dropped after this
   /// time. It takes one look at the target's address.
   common::Duration pending_memory = std::chrono::milliseconds(5000);
   /// Events and good answers kept for the leader at most; the oldest go first.
-  std::size_t most_kept = 256;
+  std::size_t max_kept = 256;
   /// Safeguards; off only in mutants.
-  bool holds = true;
-  bool asks_whether_gone = true;  ///< an end of a connection alone is no crash
+  bool is_enabled = true;
+  bool probes_target = true;  ///< an end of a connection alone is no crash
 };
 
 class CrashSuspects {
@@ -37,18 +37,18 @@
   explicit CrashSuspects(CrashSuspectsOptions options);
 
   /// A connection ended while a request waited. @return true where it is to be found out whether
-  /// its target has ended, by on_gone() or on_alive().
+  /// its target has ended, by on_target_gone() or on_target_alive().
   bool on_connection_ended(const CrashEvent& event);
   /// The target has ended. @return true where the leader should hear of it soon: it may complete
   /// rows.
-  bool on_gone(common::TimePoint now, common::BackendId target);
+  bool on_target_gone(common::TimePoint now, common::BackendId target);
   /// The target lives: its connections ended for other reasons.
-  void on_alive(common::BackendId target) { pending_.erase(target); }
+  void on_target_alive(common::BackendId target) { pending_.erase(target); }
   /// A target has run the request to an answer.
   void on_answered(common::TimePoint now, RequestDigest digest);
   /// The leader's list, by its time; @param asked_at when the hello was sent that it had read.
-  void on_told(common::TimePoint now, common::TimePoint asked_at, common::Term term,
-               const std::vector<SuspectRequest>& listed);
+  void on_leader_list(common::TimePoint now, common::TimePoint asked_at, common::Term term,
+                      const std::vector<SuspectRequest>& listed);
   /// True where answers and arrivals are to be compared with suspects: their digests are needed.
   bool any() const { return !listed_.empty() || !inherited_.empty() || !own_.empty(); }
   /// True where one crash more has it refused, with those that are not known to be crashes yet.
--- a/src/routing/crowded_owners.hpp
+++ b/src/routing/crowded_owners.hpp
@@ -18,7 +18,7 @@
   /// apart), so that one late answer does not end it.
   common::Duration lease = std::chrono::milliseconds(2500);
   /// Safeguard; off only in mutants.
-  bool holds = true;
+  bool is_enabled = true;
 };
 
 class CrowdedOwners {
@@ -26,12 +26,16 @@
   explicit CrowdedOwners(CrowdedOwnersOptions options) : options_(options) {}
 
   /// The leader's list; owners that it lacks are not crowded.
-  void on_told(common::TimePoint now, const std::vector<AdmittedPart>& parts);
+  void on_leader_list(common::TimePoint now, const std::vector<AdmittedShare>& parts);
   /// Whether one more request for keys of this owner may be sent; to be asked once a request.
   bool admits(common::TimePoint now, BackendId owner, common::RandomEngine& random);
   /// True while the leader's word holds.
-  bool is_told(common::TimePoint now) const { return options_.holds && now < told_until_; }
-  std::size_t count(common::TimePoint now) const { return is_told(now) ? owners_.size() : 0; }
+  bool has_current_list(common::TimePoint now) const {
+    return options_.is_enabled && now < told_until_;
+  }
+  std::size_t count(common::TimePoint now) const {
+    return has_current_list(now) ? owners_.size() : 0;
+  }
 
  private:
   struct Owner {
--- a/src/routing/fleet_size.hpp
+++ b/src/routing/fleet_size.hpp
@@ -21,7 +21,7 @@
   explicit FleetSize(common::Duration memory) : memory_(memory) {}
 
   /// A leader counts so many routers.
-  void on_told(common::TimePoint now, std::uint32_t routers) {
+  void on_count(common::TimePoint now, std::uint32_t routers) {
     while (!heard_.empty() && heard_.back().routers <= routers) {
       heard_.pop_back();
     }
--- a/src/routing/limited_targets.cpp
+++ b/src/routing/limited_targets.cpp
@@ -8,10 +8,10 @@
 LimitedTargets::LimitedTargets(LimitedTargetsOptions options)
     : options_(options), parts_(RateShareOptions{.share = 1.0}) {}
 
-bool LimitedTargets::on_answer(common::TimePoint now, BackendId target, const LimitWord& word) {
+bool LimitedTargets::on_answer(common::TimePoint now, BackendId target, const AnswerLimit& word) {
   const auto found = targets_.find(target);
   const bool is_known = found != targets_.end();
-  if (!word.is_told || (!is_known && !word.per_second.has_value())) {
+  if (!word.is_stated || (!is_known && !word.per_second.has_value())) {
     return false;
   }
   Target& entry = is_known ? found->second : targets_[target];
@@ -29,8 +29,8 @@
   return is_news;
 }
 
-void LimitedTargets::on_told(common::TimePoint now, common::TimePoint asked_at,
-                             const std::vector<TargetLimit>& limits, bool is_whole) {
+void LimitedTargets::on_leader_list(common::TimePoint now, common::TimePoint asked_at,
+                                    const std::vector<TargetLimit>& limits, bool is_complete) {
   std::set<BackendId> listed;
   for (const TargetLimit& told : limits) {
     listed.insert(told.backend);
@@ -46,7 +46,7 @@
     }
   }
   for (auto& [id, target] : targets_) {
-    if (is_whole && reports_all_ && !listed.contains(id) && !is_ahead(target, asked_at)) {
+    if (is_complete && reports_all_ && !listed.contains(id) && !is_ahead(target, asked_at)) {
       target.limit.reset();
     }
   }
@@ -54,11 +54,11 @@
 
 bool LimitedTargets::is_limited(BackendId target) const {
   const auto found = targets_.find(target);
-  return options_.holds && found != targets_.end() && found->second.limit.has_value();
+  return options_.is_enabled && found != targets_.end() && found->second.limit.has_value();
 }
 
 double LimitedTargets::planned_rate(const Target& target) const {
-  return std::max(options_.share * target.limit.value_or(0), options_.least_rate);
+  return std::max(options_.share * target.limit.value_or(0), options_.min_rate);
 }
 
 bool LimitedTargets::is_spent(common::TimePoint now, const Target& target) const {
@@ -79,8 +79,8 @@
   return target.admitted.admits(target.admission, random);
 }
 
-bool LimitedTargets::has_part(common::TimePoint now, BackendId target, std::uint32_t routers,
-                              common::RandomEngine& random) {
+bool LimitedTargets::has_share(common::TimePoint now, BackendId target, std::uint32_t routers,
+                               common::RandomEngine& random) {
   return !is_limited(target) ||
          parts_.allows(now, target, planned_rate(targets_.at(target)), routers, random);
 }
--- a/src/routing/limited_targets.hpp
+++ b/src/routing/limited_targets.hpp
@@ -29,8 +29,8 @@
 namespace planktray::routing {
 
 /// What one answer says of its target's limit.
-struct LimitWord {
-  bool is_told = false;              ///< the answer tells whether there is one
+struct AnswerLimit {
+  bool is_stated = false;            ///< the answer tells whether there is one
   std::optional<double> per_second;  ///< none: the target names no limit
 };
 
@@ -40,14 +40,14 @@
   /// Least rate, of all routers together, that is planned with, in requests a second: a target
   /// whose limit is 0 has to get one now and then, or nobody hears that the limit has ended. Six in
   /// 4 s, one more than may come at a limit of 0, have a probability below 1e-5.
-  double least_rate = 0.1;
+  double min_rate = 0.1;
   /// The leader's word on admission is used for this long. Longer than two hellos of the largest
   /// fleet (1.25 s apart), so that one late answer does not end it.
   common::Duration admission_lease = std::chrono::milliseconds(2500);
   /// That a limit has ended is told for this long: it outlives a change of leader.
   common::Duration end_memory = std::chrono::milliseconds(5000);
   /// Safeguard; off only in mutants.
-  bool holds = true;
+  bool is_enabled = true;
 };
 
 class LimitedTargets {
@@ -55,12 +55,12 @@
   explicit LimitedTargets(LimitedTargetsOptions options);
 
   /// An answer of the target came. @return true where this is news.
-  bool on_answer(common::TimePoint now, BackendId target, const LimitWord& word);
+  bool on_answer(common::TimePoint now, BackendId target, const AnswerLimit& word);
   /// The leader's list. @param asked_at when the hello was sent that it had read: what this router
   /// has not reported by then is not in the list.
-  /// @param is_whole whether a target that the list lacks names no limit.
-  void on_told(common::TimePoint now, common::TimePoint asked_at,
-               const std::vector<TargetLimit>& limits, bool is_whole);
+  /// @param is_complete whether a target that the list lacks names no limit.
+  void on_leader_list(common::TimePoint now, common::TimePoint asked_at,
+                      const std::vector<TargetLimit>& limits, bool is_complete);
   /// Forgets targets that the table lacks, and ends that are old.
   template <typename IsKnown>
   void keep_only(common::TimePoint now, const IsKnown& is_known) {
@@ -72,11 +72,11 @@
 
   bool is_limited(BackendId target) const;
   /// Whether one more request for keys of this owner is admitted; to be asked once a request.
-  /// @return nothing where the leader has not said lately which part is: see has_part.
+  /// @return nothing where the leader has not said lately which part is: see has_share.
   std::optional<bool> admits(common::TimePoint now, BackendId owner, common::RandomEngine& random);
   /// Whether this router's equal part leaves room for one more now.
-  bool has_part(common::TimePoint now, BackendId target, std::uint32_t routers,
-                common::RandomEngine& random);
+  bool has_share(common::TimePoint now, BackendId target, std::uint32_t routers,
+                 common::RandomEngine& random);
   void on_sent(common::TimePoint now, BackendId target, std::uint32_t routers);
   /// What this router knows of limits, for the leader; `most` at most.
   std::vector<LimitReport> reports(common::TimePoint now, std::size_t most);
--- a/src/routing/rate_share.cpp
+++ b/src/routing/rate_share.cpp
@@ -25,7 +25,7 @@
 
 bool RateShare::allows(common::TimePoint now, common::BackendId target, double rate,
                        std::uint32_t routers, common::RandomEngine& random) {
-  if (rate <= 0 || !options_.holds) {
+  if (rate <= 0 || !options_.is_enabled) {
     return true;
   }
   const common::Duration present = interval(rate, routers);
--- a/src/routing/rate_share.hpp
+++ b/src/routing/rate_share.hpp
@@ -28,7 +28,7 @@
   /// once when it comes; a second's worth is within every bound that allows for chance.
   common::Duration open_for = std::chrono::milliseconds(1000);
   /// Safeguard; off only in mutants.
-  bool holds = true;
+  bool is_enabled = true;
 };
 
 class RateShare {
--- a/src/routing/stated_departures.hpp
+++ b/src/routing/stated_departures.hpp
@@ -23,8 +23,8 @@
   explicit StatedDepartures(Duration promised) : promised_(promised) {}
 
   /// An answer of the back end said so. @return true where that is news.
-  bool on_said(TimePoint now, BackendId id) { return said_at_.try_emplace(id, now).second; }
-  bool has_said(BackendId id) const { return said_at_.contains(id); }
+  bool on_stated(TimePoint now, BackendId id) { return said_at_.try_emplace(id, now).second; }
+  bool has_stated(BackendId id) const { return said_at_.contains(id); }
   /// When the back end is to get nothing more; nothing where it has not said so, or where nothing
   /// is promised.
   std::optional<TimePoint> closes_at(BackendId id) const {
--- a/src/routing/table_freshness.cpp
+++ b/src/routing/table_freshness.cpp
@@ -22,17 +22,17 @@
   }
 }
 
-TableStanding TableFreshness::standing(common::TimePoint now, common::Duration extra) const {
+TableStatus TableFreshness::status(common::TimePoint now, common::Duration extra) const {
   const auto table_age = age(now);
   const common::Duration oldest =
-      std::max(options_.oldest - extra, std::min(options_.oldest, options_.shortest));
+      std::max(options_.max_age - extra, std::min(options_.max_age, options_.shortest_max_age));
   const bool is_young = table_age.has_value() && *table_age <= oldest;
-  if (options_.oldest.count() == 0 || is_young) {
-    return TableStanding::kCurrent;
+  if (options_.max_age.count() == 0 || is_young) {
+    return TableStatus::kCurrent;
   }
   const bool lost_contact =
       asked_since_.has_value() && now - *asked_since_ >= options_.contact_timeout;
-  return lost_contact ? TableStanding::kOutOfContact : TableStanding::kTooOld;
+  return lost_contact ? TableStatus::kOutOfContact : TableStatus::kTooOld;
 }
 
 std::optional<common::Duration> TableFreshness::age(common::TimePoint now) const {
@@ -41,7 +41,7 @@
 
 bool TableFreshness::is_aging(common::TimePoint now) const {
   const auto table_age = age(now);
-  return !table_age.has_value() || *table_age > options_.oldest / 2;
+  return !table_age.has_value() || *table_age > options_.max_age / 2;
 }
 
 }  // namespace planktray::routing
--- a/src/routing/table_freshness.hpp
+++ b/src/routing/table_freshness.hpp
@@ -20,7 +20,7 @@
 struct FreshnessOptions {
   /// The oldest table to decide with while in contact; 0: any. Set to what is promised to operators
   /// less the time that a request takes to its back end.
-  common::Duration oldest = std::chrono::milliseconds(2000);
+  common::Duration max_age = std::chrono::milliseconds(2000);
   /// Contact is lost once nobody has answered for this long since the router asked. Two rounds of
   /// questions to other controllers (0.5 and 0.75 s) and an election (0.5 s) fit into it.
   common::Duration contact_timeout = std::chrono::milliseconds(1250);
@@ -28,11 +28,11 @@
   /// nobody answered then says nothing. Turns of a full router's loop are some 60 ms.
   common::Duration stall = std::chrono::milliseconds(500);
   /// No younger table is asked for, whatever a decision takes to come into effect.
-  common::Duration shortest = std::chrono::milliseconds(500);
+  common::Duration shortest_max_age = std::chrono::milliseconds(500);
 };
 
 /// What a table is good for.
-enum class TableStanding {
+enum class TableStatus {
   kCurrent,       ///< young enough for every decision
   kTooOld,        ///< in contact, and older than allowed: nothing may be decided with it
   kOutOfContact,  ///< the last that was known; it does not show that something is not there
@@ -52,8 +52,8 @@
   /// from the future was made for an earlier life of this router's clock and is passed over.
   void on_confirmed(common::TimePoint now, common::TimePoint as_of);
 
-  /// @param extra what the decision takes to come into effect beyond what `oldest` allows for.
-  TableStanding standing(common::TimePoint now, common::Duration extra = {}) const;
+  /// @param extra what the decision takes to come into effect beyond what `max_age` allows for.
+  TableStatus status(common::TimePoint now, common::Duration extra = {}) const;
   /// @return nothing before the first confirmation.
   std::optional<common::TimePoint> as_of() const { return as_of_; }
   /// Time since as_of(); nothing before the first confirmation.
--- a/src/routing/table_messages.hpp
+++ b/src/routing/table_messages.hpp
@@ -143,16 +143,16 @@
 };
 
 /// Limits named in one hello or update at most.
-inline constexpr std::size_t kMostLimits = 256;
+inline constexpr std::size_t kMaxLimits = 256;
 
 /// What a back end has told one router of its limit: so many requests a second from all routers
 /// together, or that it names none any more.
 struct LimitReport {
   BackendId backend;
-  bool holds = false;
+  bool is_limited = false;
   double per_second = 0;
   std::uint64_t age_us = 0;  ///< since an answer said so
-  MSGPACK_DEFINE_ARRAY(backend, holds, per_second, age_us)
+  MSGPACK_DEFINE_ARRAY(backend, is_limited, per_second, age_us)
 };
 
 /// A limit that a back end names, as the leader knows it from all routers.
@@ -166,18 +166,18 @@
 };
 
 /// Crowded owners named in one update at most.
-inline constexpr std::size_t kMostCrowded = 256;
+inline constexpr std::size_t kMaxCrowdedOwners = 256;
 
 /// An owner of keys whose queue is too long: the part of the requests for its keys that each router
 /// may send.
-struct AdmittedPart {
+struct AdmittedShare {
   BackendId backend;
   std::uint32_t permille = 1000;
   MSGPACK_DEFINE_ARRAY(backend, permille)
 };
 
 /// Requests that crash their targets named in one update, and crashes in one hello, at most.
-inline constexpr std::size_t kMostSuspects = 64;
+inline constexpr std::size_t kMaxSuspects = 64;
 
 /// A connection to a back end ended while a request waited there for its answer.
 struct CrashReport {
@@ -204,7 +204,7 @@
 };
 
 /// Back ends named in one hello at most that have asked to be left alone.
-inline constexpr std::size_t kMostBackoffs = 64;
+inline constexpr std::size_t kMaxBackoffs = 64;
 
 /// An owner of keys that wants nothing from this router for a while.
 struct BackoffReport {
@@ -267,15 +267,15 @@
   bool by_follower = false;
   std::vector<TargetLimit> limits;
   /// True where `limits` holds all that the leader knows; never from followers.
-  bool limits_are_whole = false;
+  bool limits_are_complete = false;
   /// Not from followers.
   std::vector<SuspectRequest> suspects;
   /// All other owners are not crowded, where queues are known; never from followers.
-  std::vector<AdmittedPart> crowded;
+  std::vector<AdmittedShare> crowded;
   bool queues_are_known = false;
   MSGPACK_DEFINE_ARRAY(cell, term, echo_clock_us, base_index, current_index, router_rank,
                        router_count, deltas, hello_interval_ms, as_of_clock_us, by_follower, limits,
-                       limits_are_whole, suspects, crowded, queues_are_known)
+                       limits_are_complete, suspects, crowded, queues_are_known)
 };
 
 /// Follower to router, in place of an answer to its hello: where the controllers of the cell are.
--- a/src/routing/target_book.cpp
+++ b/src/routing/target_book.cpp
@@ -146,7 +146,7 @@
   return time;
 }
 
-Duration TargetBook::projected(TimePoint now, BackendId id) const {
+Duration TargetBook::expected_latency(TimePoint now, BackendId id) const {
   const auto found = targets_.find(id);
   if (found == targets_.end()) {
     return options_.initial_time;
--- a/src/routing/target_book.hpp
+++ b/src/routing/target_book.hpp
@@ -107,7 +107,7 @@
   bool is_blocked(TimePoint now, BackendId id) const;
   std::size_t outstanding(BackendId id) const;
   /// Expected time until an answer to a request sent now.
-  Duration projected(TimePoint now, BackendId id) const;
+  Duration expected_latency(TimePoint now, BackendId id) const;
   const TargetView* find(BackendId id) const;
   /// How long work usually takes at the book's targets.
   Duration typical_time() const {
--- a/src/sim/overload_world.cpp
+++ b/src/sim/overload_world.cpp
@@ -414,7 +414,7 @@
   TimePoint next_fold_;
   controller::OwnerAdmission admission_;
   ownership::KeyLoads loads_;
-  std::vector<routing::AdmittedPart> crowded_;
+  std::vector<routing::AdmittedShare> crowded_;
   EventQueue events_;
   std::map<std::string, Backend> backends_;  ///< by address
   std::vector<double> rooms_;                ///< requests a second that each back end can answer
--- a/src/sim/route_world.cpp
+++ b/src/sim/route_world.cpp
@@ -685,16 +685,16 @@
       {"unknown-called-not-run", "what may have run is never called not run",
        [](RouteWorldOptions& options) { options.router.claim_not_run = true; }},
       {"crashing-requests-go-on", "a request that crashes its targets is refused",
-       [](RouteWorldOptions& options) { options.router.crash_suspects.holds = false; }},
+       [](RouteWorldOptions& options) { options.router.crash_suspects.is_enabled = false; }},
       {"lost-answers-are-crashes", "only the end of a target counts as a crash",
-       [](RouteWorldOptions& options) { options.router.crash_suspects.asks_whether_gone = false; }},
+       [](RouteWorldOptions& options) { options.router.crash_suspects.probes_target = false; }},
       {"one-crash-is-proof", "what only shared a target's end is no suspect",
        [](RouteWorldOptions& options) {
          options.crash_ledger.threshold = 1;
          options.router.crash_suspects.ledger.threshold = 1;
        }},
       {"limits-not-kept", "all routers together keep to the limits that back ends name",
-       [](RouteWorldOptions& options) { options.router.limited_targets.holds = false; }},
+       [](RouteWorldOptions& options) { options.router.limited_targets.is_enabled = false; }},
       {"limit-for-each-router", "each router takes its part of a limit, not the whole",
        [](RouteWorldOptions& options) { options.router.limited_targets.share = 6; }},
   };
--- a/test/platform/request_dialect_test.cpp
+++ b/test/platform/request_dialect_test.cpp
@@ -134,7 +134,7 @@
        {Readable{"4.8", 4.8}, Readable{"0", 0.0}, Readable{"0.25", 0.25}, Readable{"1e12", 1e12}}) {
     CAPTURE(given.text);
     const auto result = judged({{kLimitHeader, given.text}});
-    CHECK(result.limit.is_told);
+    CHECK(result.limit.is_stated);
     CHECK(result.limit.per_second == given.value);
     CHECK(result.unread_headers.empty());
   }
@@ -144,28 +144,28 @@
   for (const char* text : {"", "-1", "many", "nan", "inf", "4.8 a second", "1,5"}) {
     CAPTURE(text);
     const auto result = judged({{kLimitHeader, text}});
-    CHECK_FALSE(result.limit.is_told);
+    CHECK_FALSE(result.limit.is_stated);
     REQUIRE(result.unread_headers.size() == 1);
     CHECK(result.unread_headers[0].value == text);
   }
-  CHECK(judged({}).limit.is_told);
+  CHECK(judged({}).limit.is_stated);
   CHECK_FALSE(judged({}).limit.per_second.has_value());
 }
 
 TEST_CASE("only answers of the target itself say that it names no limit any more") {
   const PlatformDialect dialect;
   const auto refused = dialect.judge({}, {}, response(503, {{kNotExecutedHeader, "1"}}));
-  CHECK_FALSE(refused.limit.is_told);
+  CHECK_FALSE(refused.limit.is_stated);
   const auto limited =
       dialect.judge({}, {}, response(503, {{kNotExecutedHeader, "1"}, {kLimitHeader, "2"}}));
   CHECK(limited.limit.per_second == 2.0);
   HttpResponse broken;
   broken.was_sent = true;
-  CHECK_FALSE(dialect.judge({}, {}, broken).limit.is_told);
+  CHECK_FALSE(dialect.judge({}, {}, broken).limit.is_stated);
   const auto other = dialect.judge(
       {}, common::Incarnation("i-1"),
       response(421, {{kInstanceHeader, "i-2"}, {kNotExecutedHeader, "1"}, {kLimitHeader, "2"}}));
-  CHECK_FALSE(other.limit.is_told);  // another process speaks of itself
+  CHECK_FALSE(other.limit.is_stated);  // another process speaks of itself
 }
 
 TEST_CASE("a load report that grew is used as far as it can be read, and said so") {
--- a/test/router/arrival_time_test.cpp
+++ b/test/router/arrival_time_test.cpp
@@ -53,13 +53,13 @@
   constexpr double kNarrowLink = 4.2e6 / 8;  // bytes a second
   constexpr auto kPromised = milliseconds(2000);
   const ArrivalTime arrival = arrival_time(deployed_settings());
-  const routing::FreshnessOptions options{.oldest = arrival.oldest_table(kPromised)};
+  const routing::FreshnessOptions options{.max_age = arrival.oldest_table(kPromised)};
   const TimePoint as_of = TimePoint(std::chrono::hours(1));
   routing::TableFreshness freshness(options);
   freshness.on_confirmed(as_of, as_of);
   const auto oldest_for = [&](common::Duration passing) {
     common::Duration age{0};
-    while (freshness.standing(as_of + age, passing) == routing::TableStanding::kCurrent) {
+    while (freshness.status(as_of + age, passing) == routing::TableStatus::kCurrent) {
       age += milliseconds(1);
     }
     return age - milliseconds(1);
@@ -76,7 +76,7 @@
   const common::Duration passing = window.passing_time(50'000);
   CHECK(oldest_for(passing) + passing + arrival.total() <= kPromised);
   // One that takes longer than that is begun with the youngest table that is asked for.
-  CHECK(oldest_for(seconds(5)) == options.shortest);
+  CHECK(oldest_for(seconds(5)) == options.shortest_max_age);
 }
 
 // Guards against requests to owners in an evacuated zone that end by a time of their own, whatever
--- a/test/router/route_fixture.hpp
+++ b/test/router/route_fixture.hpp
@@ -26,7 +26,7 @@
   static RouterOptions deployed_options() {
     RouterOptions options;
     options.name = common::RouterName("r");
-    options.freshness.oldest = milliseconds(1500);
+    options.freshness.max_age = milliseconds(1500);
     options.writes.promised = milliseconds(2000);
     return options;
   }
--- a/test/router/router_core_test.cpp
+++ b/test/router/router_core_test.cpp
@@ -353,7 +353,7 @@
     RouterOptions options = Fixture::options();
     options.name = common::RouterName(name);
     options.zone = common::ZoneName("north");
-    options.freshness.oldest = Duration(0);  // one table for the whole test
+    options.freshness.max_age = Duration(0);  // one table for the whole test
     return options;
   }
 
@@ -521,8 +521,9 @@
     const std::size_t most = most_in_a_second(keyed, nullptr);
     CHECK(most <= kAllowed);
     CHECK(most >= 1);  // some of it is used
-    CHECK(most_in_a_second(
-              keyed, [](RouterOptions& options) { options.cold_limit.holds = false; }) > kAllowed);
+    CHECK(most_in_a_second(keyed, [](RouterOptions& options) {
+            options.cold_limit.is_enabled = false;
+          }) > kAllowed);
   }
 }
 
--- a/test/routing/crash_ledger_test.cpp
+++ b/test/routing/crash_ledger_test.cpp
@@ -28,31 +28,32 @@
 
 TEST_CASE("three targets crashed one after the other have the request refused for a while") {
   CrashLedger ledger{CrashLedgerOptions()};
-  CHECK_FALSE(ledger.take(crash(kBad, 1, 0)));
+  CHECK_FALSE(ledger.record_crash(crash(kBad, 1, 0)));
   CHECK_FALSE(ledger.is_suspect(kBad));
-  CHECK_FALSE(ledger.take(crash(kBad, 2, 500)));
+  CHECK_FALSE(ledger.record_crash(crash(kBad, 2, 500)));
   CHECK(ledger.is_suspect(kBad));
   CHECK_FALSE(ledger.is_blocked(at(600), kBad));
-  CHECK(ledger.take(crash(kBad, 3, 1000)));
+  CHECK(ledger.record_crash(crash(kBad, 3, 1000)));
   CHECK(ledger.is_blocked(at(1001), kBad));
   CHECK(ledger.is_blocked(at(120'000), kBad));
-  CHECK_FALSE(ledger.is_blocked(at(122'000), kBad));  // its targets may be mended
-  CHECK(ledger.take(crash(kBad, 4, 123'000)));        // one more is enough
+  CHECK_FALSE(ledger.is_blocked(at(122'000), kBad));    // its targets may be mended
+  CHECK(ledger.record_crash(crash(kBad, 4, 123'000)));  // one more is enough
   CHECK(ledger.is_blocked(at(123'000 + 239'000), kBad));
-  CHECK_FALSE(ledger.take(crash(0, 9, 0)));
+  CHECK_FALSE(ledger.record_crash(crash(0, 9, 0)));
 }
 
 TEST_CASE("reports that come in any order make the same row") {
   CrashLedger ledger{CrashLedgerOptions()};
-  ledger.take(crash(kBad, 3, 1000));
-  ledger.take(crash(kBad, 1, 0));
-  CHECK(ledger.take(crash(kBad, 2, 500)));
+  ledger.record_crash(crash(kBad, 3, 1000));
+  ledger.record_crash(crash(kBad, 1, 0));
+  CHECK(ledger.record_crash(crash(kBad, 2, 500)));
 }
 
 TEST_CASE("targets that end together take what is under way with them, and prove nothing") {
   CrashLedger ledger{CrashLedgerOptions()};
   for (std::uint64_t target = 1; target <= 9; ++target) {
-    CHECK_FALSE(ledger.take(crash(kGood, target, 1000 + static_cast<std::int64_t>(target), 80)));
+    CHECK_FALSE(
+        ledger.record_crash(crash(kGood, target, 1000 + static_cast<std::int64_t>(target), 80)));
   }
   CHECK_FALSE(ledger.is_suspect(kGood));
 }
@@ -60,30 +61,30 @@
 TEST_CASE("one target that ends again and again proves nothing of a request") {
   CrashLedger ledger{CrashLedgerOptions()};
   for (std::int64_t time = 0; time < 10'000; time += 1000) {
-    CHECK_FALSE(ledger.take(crash(kGood, 1, time)));
+    CHECK_FALSE(ledger.record_crash(crash(kGood, 1, time)));
   }
   CHECK_FALSE(ledger.is_suspect(kGood));
 }
 
 TEST_CASE("a good answer clears a request, also one that is refused") {
   CrashLedger ledger{CrashLedgerOptions()};
-  ledger.take(crash(kBad, 1, 0));
-  ledger.take(crash(kBad, 2, 500));
-  CHECK(ledger.forgive(kBad, at(700), false));
-  CHECK_FALSE(ledger.take(crash(kBad, 3, 600)));  // it ended before the answer
-  CHECK_FALSE(ledger.take(crash(kBad, 4, 900)));
-  CHECK_FALSE(ledger.take(crash(kBad, 5, 1400)));
-  CHECK(ledger.take(crash(kBad, 6, 1900)));
-  CHECK(ledger.forgive(kBad, at(2000), false));
+  ledger.record_crash(crash(kBad, 1, 0));
+  ledger.record_crash(crash(kBad, 2, 500));
+  CHECK(ledger.record_answer(kBad, at(700), false));
+  CHECK_FALSE(ledger.record_crash(crash(kBad, 3, 600)));  // it ended before the answer
+  CHECK_FALSE(ledger.record_crash(crash(kBad, 4, 900)));
+  CHECK_FALSE(ledger.record_crash(crash(kBad, 5, 1400)));
+  CHECK(ledger.record_crash(crash(kBad, 6, 1900)));
+  CHECK(ledger.record_answer(kBad, at(2000), false));
   CHECK_FALSE(ledger.is_blocked(at(2001), kBad));
 }
 
 TEST_CASE("ends that follow each other within a moment count once") {
   CrashLedger ledger{CrashLedgerOptions()};
   // Repeats of one try: what shared the first target may share the next, too.
-  ledger.take(crash(kGood, 1, 0, 60));
-  ledger.take(crash(kGood, 2, 4, 3));
-  ledger.take(crash(kGood, 3, 3000, 100));
+  ledger.record_crash(crash(kGood, 1, 0, 60));
+  ledger.record_crash(crash(kGood, 2, 4, 3));
+  ledger.record_crash(crash(kGood, 3, 3000, 100));
   CHECK(ledger.is_suspect(kGood));
   CHECK_FALSE(ledger.is_blocked(at(3001), kGood));
 }
@@ -91,11 +92,11 @@
 TEST_CASE("what ended with targets that another request crashed is no suspect") {
   CrashLedger ledger{CrashLedgerOptions()};
   for (std::uint64_t target = 1; target <= 3; ++target) {
-    ledger.take(crash(kGood, target, static_cast<std::int64_t>(target) * 500, 200));
+    ledger.record_crash(crash(kGood, target, static_cast<std::int64_t>(target) * 500, 200));
   }
   CHECK(ledger.is_blocked(at(1600), kGood));  // nothing else is known of these ends yet
   for (std::uint64_t target = 1; target <= 4; ++target) {
-    ledger.take(crash(kBad, target, static_cast<std::int64_t>(target) * 500));
+    ledger.record_crash(crash(kBad, target, static_cast<std::int64_t>(target) * 500));
   }
   CHECK(ledger.is_blocked(at(2100), kBad));
   CHECK_FALSE(ledger.is_blocked(at(2100), kGood));
@@ -104,22 +105,22 @@
 
 TEST_CASE("an answer that is reported before the crashes it came after clears them") {
   CrashLedger ledger{CrashLedgerOptions()};
-  CHECK_FALSE(ledger.forgive(kGood, at(2000), true));
+  CHECK_FALSE(ledger.record_answer(kGood, at(2000), true));
   for (std::uint64_t target = 1; target <= 4; ++target) {
-    CHECK_FALSE(ledger.take(crash(kGood, target, static_cast<std::int64_t>(target) * 400)));
+    CHECK_FALSE(ledger.record_crash(crash(kGood, target, static_cast<std::int64_t>(target) * 400)));
   }
   CHECK_FALSE(ledger.is_suspect(kGood));
 }
 
 TEST_CASE("what is kept is bounded, and the oldest goes first") {
   CrashLedgerOptions options;
-  options.most = 3;
+  options.max_requests = 3;
   CrashLedger ledger(options);
   for (std::uint64_t target = 1; target <= 3; ++target) {
-    ledger.take(crash(kBad, target, static_cast<std::int64_t>(target) * 500));
+    ledger.record_crash(crash(kBad, target, static_cast<std::int64_t>(target) * 500));
   }
   for (RequestDigest digest = 100; digest < 120; ++digest) {
-    ledger.take(crash(digest, 1, 2000 + static_cast<std::int64_t>(digest)));
+    ledger.record_crash(crash(digest, 1, 2000 + static_cast<std::int64_t>(digest)));
   }
   CHECK(ledger.is_blocked(at(3000), kBad));  // refused for two minutes: the youngest of all
   ledger.expire(at(3'600'000));
@@ -131,12 +132,12 @@
   CrashSuspects suspects{CrashSuspectsOptions()};
   void see(RequestDigest digest, std::uint64_t backend, std::int64_t ended) {
     if (suspects.on_connection_ended(crash(digest, backend, ended))) {
-      suspects.on_gone(at(ended + 50), BackendId(backend));
+      suspects.on_target_gone(at(ended + 50), BackendId(backend));
     }
   }
   RouterHello hello(std::int64_t time) {
     RouterHello made;
-    suspects.report(at(time), kMostSuspects, made);
+    suspects.report(at(time), kMaxSuspects, made);
     return made;
   }
 };
@@ -154,18 +155,18 @@
   CHECK(blocked[0].digest == kBad);
   CHECK(blocked[0].crashes == 3);
   for (Router& router : routers) {
-    router.suspects.on_told(at(1000), at(902), Term(1), leader.told(at(1000)));
+    router.suspects.on_leader_list(at(1000), at(902), Term(1), leader.told(at(1000)));
     CHECK(router.suspects.is_blocked(at(1001), kBad));
     CHECK_FALSE(router.suspects.is_blocked(at(1001), kGood));
   }
   CHECK(routers[0].hello(1100).crashes.size() == 1);  // to the leader that it has just heard of
-  routers[0].suspects.on_told(at(1200), at(1100), Term(1), leader.told(at(1200)));
+  routers[0].suspects.on_leader_list(at(1200), at(1100), Term(1), leader.told(at(1200)));
   CHECK(routers[0].hello(1300).crashes.empty());  // this one has read it
 
   // A new leader knows nothing, and is told again.
   controller::FleetSuspects next{CrashLedgerOptions()};
   for (Router& router : routers) {
-    router.suspects.on_told(at(2000), at(1100), Term(2), next.told(at(2000)));
+    router.suspects.on_leader_list(at(2000), at(1100), Term(2), next.told(at(2000)));
     next.take(at(2100), router.hello(2100));
   }
   CHECK(next.told(at(2200)).size() == 1);
@@ -174,14 +175,14 @@
 
 TEST_CASE("a list outlives its leader and the routers that saw the crashes") {
   Router router;
-  router.suspects.on_told(at(0), at(0), Term(1), {{kBad, 60'000, 3}, {kGood, 0, 1}});
+  router.suspects.on_leader_list(at(0), at(0), Term(1), {{kBad, 60'000, 3}, {kGood, 0, 1}});
   CHECK(router.suspects.is_blocked(at(1), kBad));
   controller::FleetSuspects next{CrashLedgerOptions()};
-  router.suspects.on_told(at(1000), at(900), Term(2), next.told(at(1000)));
+  router.suspects.on_leader_list(at(1000), at(900), Term(2), next.told(at(1000)));
   CHECK(router.suspects.is_blocked(at(1001), kBad));  // the new leader does not know it yet
   next.take(at(1100), router.hello(1100));
   REQUIRE(next.told(at(1200)).size() == 2);
-  router.suspects.on_told(at(1200), at(1100), Term(2), next.told(at(1200)));
+  router.suspects.on_leader_list(at(1200), at(1100), Term(2), next.told(at(1200)));
   CHECK(router.suspects.is_blocked(at(50'000), kBad));
   CHECK_FALSE(router.suspects.is_blocked(at(62'000), kBad));
   CHECK(router.hello(1300).suspects_listed.empty());
@@ -204,8 +205,8 @@
     const auto ended = static_cast<std::int64_t>(target) * 500;
     CHECK(suspects.on_connection_ended(crash(kGood, target, ended)));
     CHECK_FALSE(suspects.on_connection_ended(crash(kGood, target, ended)));  // one look for both
-    suspects.on_alive(BackendId(target));
-    CHECK_FALSE(suspects.on_gone(at(ended + 100), BackendId(target)));
+    suspects.on_target_alive(BackendId(target));
+    CHECK_FALSE(suspects.on_target_gone(at(ended + 100), BackendId(target)));
   }
   CHECK_FALSE(suspects.any());
   CHECK_FALSE(suspects.is_blocked(at(5000), kGood));
@@ -220,11 +221,12 @@
   other.see(kGood, 2, 500);
   other.see(kGood, 3, 1000);
   leader.take(at(1100), other.hello(1100));
-  router.suspects.on_told(at(1200), at(1150), Term(1), leader.told(at(1200)));
+  router.suspects.on_leader_list(at(1200), at(1150), Term(1), leader.told(at(1200)));
   CHECK(router.suspects.is_blocked(at(1201), kGood));
   router.suspects.on_answered(at(1300), kGood);  // it had begun before
   CHECK_FALSE(router.suspects.is_blocked(at(1301), kGood));
-  router.suspects.on_told(at(1320), at(1310), Term(1), leader.told(at(1320)));  // an older list
+  router.suspects.on_leader_list(at(1320), at(1310), Term(1),
+                                 leader.told(at(1320)));  // an older list
   CHECK_FALSE(router.suspects.is_blocked(at(1321), kGood));
   leader.take(at(1400), router.hello(1400));
   CHECK(leader.told(at(1500)).empty());
--- a/test/routing/crowded_owners_test.cpp
+++ b/test/routing/crowded_owners_test.cpp
@@ -18,7 +18,7 @@
 TEST_CASE("the told part of the requests for a crowded owner's keys is sent") {
   common::RandomEngine random(1);
   CrowdedOwners owners{CrowdedOwnersOptions()};
-  owners.on_told(at(0), {{kCrowded, 250}});
+  owners.on_leader_list(at(0), {{kCrowded, 250}});
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
     sent += owners.admits(at(i), kCrowded, random) ? 1 : 0;
@@ -30,12 +30,12 @@
 TEST_CASE("a leader's word on crowded owners ends with its lease and with the next word") {
   common::RandomEngine random(1);
   CrowdedOwners owners{CrowdedOwnersOptions()};
-  owners.on_told(at(0), {{kCrowded, 0}});
+  owners.on_leader_list(at(0), {{kCrowded, 0}});
   CHECK_FALSE(owners.admits(at(2400), kCrowded, random));
   CHECK(owners.admits(at(2600), kCrowded, random));
-  CHECK_FALSE(owners.is_told(at(2600)));
-  owners.on_told(at(3000), {{kCrowded, 0}});
-  owners.on_told(at(3100), {});
+  CHECK_FALSE(owners.has_current_list(at(2600)));
+  owners.on_leader_list(at(3000), {{kCrowded, 0}});
+  owners.on_leader_list(at(3100), {});
   CHECK(owners.admits(at(3200), kCrowded, random));
 }
 
--- a/test/routing/limited_targets_test.cpp
+++ b/test/routing/limited_targets_test.cpp
@@ -23,8 +23,8 @@
   return common::from_microseconds((1'000'000 + milliseconds_since_start) * 1000);
 }
 
-LimitWord word(double per_second) { return {true, per_second}; }
-constexpr LimitWord kNoLimit{true, std::nullopt};
+AnswerLimit word(double per_second) { return {true, per_second}; }
+constexpr AnswerLimit kNoLimit{true, std::nullopt};
 
 /// Routers that know one limit, and a demand for its target.
 class Routers {
@@ -44,7 +44,7 @@
     const double planned = std::max(0.5 * limit, 0.1);
     const TargetLimit told{kTarget, limit, true, std::min(1.0, planned / demand)};
     for (LimitedTargets& router : routers_) {
-      router.on_told(at(time), at(time), {told}, true);
+      router.on_leader_list(at(time), at(time), {told}, true);
     }
   }
   /// Sends what is asked for until `end`, at `demand` a second, and counts 4 s windows.
@@ -65,7 +65,7 @@
     LimitedTargets& router = routers_[common::uniform(random_, 0, routers_.size() - 1)];
     const auto count = static_cast<std::uint32_t>(routers_.size());
     const auto admitted = router.admits(now, kTarget, random_);
-    if (!admitted.value_or(router.has_part(now, kTarget, count, random_))) {
+    if (!admitted.value_or(router.has_share(now, kTarget, count, random_))) {
       return;
     }
     router.on_sent(now, kTarget, count);
@@ -117,12 +117,12 @@
 
 TEST_CASE("the mutant that keeps to no limit exceeds it") {
   LimitedTargetsOptions options;
-  options.holds = false;
+  options.is_enabled = false;
   LimitedTargets router(options);
   common::RandomEngine random(1);
   router.on_answer(at(0), kTarget, word(1));
   CHECK(router.admits(at(1), kTarget, random) == true);
-  CHECK(router.has_part(at(1), kTarget, 1, random));
+  CHECK(router.has_share(at(1), kTarget, 1, random));
 }
 
 TEST_CASE("routers without demand for a long time save nothing up") {
@@ -152,7 +152,7 @@
   common::RandomEngine random(1);
   LimitedTargets one{LimitedTargetsOptions()};
   one.on_answer(at(0), kTarget, word(4.8));
-  one.on_told(at(1), at(1), {{kTarget, 4.8, true, 1.0}}, true);
+  one.on_leader_list(at(1), at(1), {{kTarget, 4.8, true, 1.0}}, true);
   for (int i = 0; i < 5; ++i) {
     CHECK(one.admits(at(2), kTarget, random) == true);
   }
@@ -176,23 +176,23 @@
   CHECK_FALSE(router.on_answer(at(0), kTarget, kNoLimit));
   CHECK(router.on_answer(at(1), kTarget, word(1)));
   CHECK_FALSE(router.on_answer(at(2), kTarget, word(1)));
-  CHECK_FALSE(router.on_answer(at(3), kTarget, LimitWord{}));  // broken: it tells nothing
+  CHECK_FALSE(router.on_answer(at(3), kTarget, AnswerLimit{}));  // broken: it tells nothing
   CHECK(router.is_limited(kTarget));
   CHECK(router.on_answer(at(4), kTarget, kNoLimit));
   CHECK_FALSE(router.is_limited(kTarget));
   const auto reports = router.reports(at(5), 8);
   REQUIRE(reports.size() == 1);
-  CHECK_FALSE(reports[0].holds);
+  CHECK_FALSE(reports[0].is_limited);
   CHECK(reports[0].age_us == 1000);
 
   LimitedTargets other{LimitedTargetsOptions()};
   other.on_answer(at(1), kTarget, word(1));
-  other.on_told(at(2), at(0), {}, true);  // the leader could not know of it yet
+  other.on_leader_list(at(2), at(0), {}, true);  // the leader could not know of it yet
   CHECK(other.is_limited(kTarget));
   (void)other.reports(at(3), 8);
-  other.on_told(at(4), at(3), {}, false);  // not all that it knows
+  other.on_leader_list(at(4), at(3), {}, false);  // not all that it knows
   CHECK(other.is_limited(kTarget));
-  other.on_told(at(5), at(3), {}, true);
+  other.on_leader_list(at(5), at(3), {}, true);
   CHECK_FALSE(other.is_limited(kTarget));
 }
 
@@ -201,7 +201,7 @@
   router.on_answer(at(0), BackendId(1), word(1));
   router.on_answer(at(0), BackendId(2), word(1));
   CHECK(router.reports(at(1), 1).size() == 1);
-  router.on_told(at(2), at(1), {}, true);
+  router.on_leader_list(at(2), at(1), {}, true);
   CHECK(router.is_limited(BackendId(1)));
   CHECK(router.is_limited(BackendId(2)));
 }
@@ -209,7 +209,7 @@
 TEST_CASE("routers keep to a limit that only the leader has told them") {
   common::RandomEngine random(1);
   LimitedTargets router{LimitedTargetsOptions()};
-  router.on_told(at(0), at(0), {{kTarget, 1, true, 0.0}}, true);
+  router.on_leader_list(at(0), at(0), {{kTarget, 1, true, 0.0}}, true);
   CHECK(router.is_limited(kTarget));
   CHECK(router.admits(at(1), kTarget, random) == false);
   CHECK(router.reports(at(2), 8).empty());  // it has heard nothing itself
@@ -218,15 +218,15 @@
 TEST_CASE("parts are worked out from the largest fleet that was told lately") {
   FleetSize size(milliseconds(6000));
   CHECK(size.largest() == 1);
-  size.on_told(at(0), 281);
-  size.on_told(at(100), 1);  // a new leader has heard one router
+  size.on_count(at(0), 281);
+  size.on_count(at(100), 1);  // a new leader has heard one router
   CHECK(size.largest() == 281);
-  size.on_told(at(400), 90);
-  size.on_told(at(5900), 280);
+  size.on_count(at(400), 90);
+  size.on_count(at(5900), 280);
   CHECK(size.largest() == 281);
-  size.on_told(at(6100), 280);
+  size.on_count(at(6100), 280);
   CHECK(size.largest() == 280);
-  size.on_told(at(6200), 300);
+  size.on_count(at(6200), 300);
   CHECK(size.largest() == 300);
 }
 
--- a/test/routing/target_book_test.cpp
+++ b/test/routing/target_book_test.cpp
@@ -27,17 +27,19 @@
     book.on_sent(at(time - 100), id);
     book.on_answered(at(time), id, at(time - 100), report);
   }
-  Duration projected(std::int64_t time, BackendId id) const { return book.projected(at(time), id); }
+  Duration expected_latency(std::int64_t time, BackendId id) const {
+    return book.expected_latency(at(time), id);
+  }
 };
 
 TEST_CASE("a target that has just reported a queue is expected to be later, for a moment") {
   Fixture fixture;
   fixture.answer(0, fixture.near, LoadReport{3, 6, kSlots});
   fixture.answer(0, fixture.far, LoadReport{0, 0, kSlots});
-  CHECK(fixture.projected(1, fixture.near) > 2 * fixture.projected(1, fixture.far));
+  CHECK(fixture.expected_latency(1, fixture.near) > 2 * fixture.expected_latency(1, fixture.far));
   // Seconds later both are as usual: what was seen then says nothing of now.
-  const Duration later = fixture.projected(4000, fixture.near);
-  CHECK(later < fixture.projected(1, fixture.near) / 2);
+  const Duration later = fixture.expected_latency(4000, fixture.near);
+  CHECK(later < fixture.expected_latency(1, fixture.near) / 2);
 }
 
 TEST_CASE("the pace that a target tells counts at once, and is not taken for its speed") {
@@ -48,8 +50,10 @@
   }
   fixture.book.on_sent(at(8000), fixture.near);
   fixture.book.on_answered(at(8300), fixture.near, at(8000), LoadReport{1, 0, kSlots, 300});
-  CHECK(fixture.projected(8301, fixture.near) > 2 * fixture.projected(8301, fixture.far));
-  CHECK(fixture.projected(11'000, fixture.near) < fixture.projected(11'000, fixture.far) * 3 / 2);
+  CHECK(fixture.expected_latency(8301, fixture.near) >
+        2 * fixture.expected_latency(8301, fixture.far));
+  CHECK(fixture.expected_latency(11'000, fixture.near) <
+        fixture.expected_latency(11'000, fixture.far) * 3 / 2);
 }
 
 // Guards against routers that send nothing for good since all targets once seemed full.
@@ -59,15 +63,16 @@
     fixture.answer(i * 10, fixture.near, LoadReport{kSlots, 30, kSlots});
     fixture.answer(i * 10, fixture.far, LoadReport{kSlots, 30, kSlots});
   }
-  CHECK(fixture.projected(2000, fixture.near) > milliseconds(90));
-  CHECK(fixture.projected(12'000, fixture.near) < milliseconds(30));
+  CHECK(fixture.expected_latency(2000, fixture.near) > milliseconds(90));
+  CHECK(fixture.expected_latency(12'000, fixture.near) < milliseconds(30));
 }
 
 TEST_CASE("what a target does not tell is taken as usual") {
   Fixture fixture;
   fixture.answer(0, fixture.near, std::nullopt);
   fixture.answer(0, fixture.far, LoadReport{0, 0, kSlots});
-  CHECK(fixture.projected(1, fixture.near) <= fixture.projected(1, fixture.far) * 11 / 10);
+  CHECK(fixture.expected_latency(1, fixture.near) <=
+        fixture.expected_latency(1, fixture.far) * 11 / 10);
 }
 
 // Guards against a target that turns slow and goes on to look as fast as before, since none of its
@@ -84,7 +89,8 @@
     fixture.book.on_given_up(at(4000 + i * 10), fixture.near, at(2000 + i * 10));
   }
   CHECK(fixture.book.outstanding(fixture.near) == 0);
-  CHECK(fixture.projected(4041, fixture.near) > 3 * fixture.projected(4041, fixture.far));
+  CHECK(fixture.expected_latency(4041, fixture.near) >
+        3 * fixture.expected_latency(4041, fixture.far));
   std::uint32_t told = 0;
   fixture.book.take_samples([&](BackendId id, const WorkSamples& samples) {
     CHECK(id == fixture.near);
@@ -99,11 +105,11 @@
   for (int i = 0; i < 20; ++i) {
     fixture.answer(i * 100, fixture.near, LoadReport{1, 0, kSlots});
   }
-  const Duration before = fixture.projected(2000, fixture.near);
+  const Duration before = fixture.expected_latency(2000, fixture.near);
   fixture.book.take_samples([](BackendId /*id*/, const WorkSamples& /*samples*/) {});
   fixture.book.on_sent(at(2000), fixture.near);
   fixture.book.on_given_up(at(2050), fixture.near, at(2000));
-  CHECK(fixture.projected(2050, fixture.near) <= before);
+  CHECK(fixture.expected_latency(2050, fixture.near) <= before);
   bool has_told = false;
   fixture.book.take_samples([&](BackendId /*id*/, const WorkSamples& /*s*/) { has_told = true; });
   CHECK_FALSE(has_told);
--- a/test/sim/overload_world_test.cpp
+++ b/test/sim/overload_world_test.cpp
@@ -64,7 +64,7 @@
       options.keyed = keyed;
       options.demand = 0.4;
       options.crowd_demand = 6.0;
-      options.router.crowded_owners.holds = is_led;
+      options.router.crowded_owners.is_enabled = is_led;
       CAPTURE(keyed);
       CAPTURE(is_led);
       const OverloadResult result = run_overload_world(options);
