--- a/src/router/core/router_core.cpp
+++ b/src/router/core/router_core.cpp
@@ -26,7 +26,7 @@
       cold_limit_(options_.cold_limit),
       limited_(options_.limited_targets),
       crowded_(options_.crowded_owners),
-      stated_departures_(options_.writes.promised),
+      stated_departures_(options_.writes.departure_deadline),
       backoffs_(options_.backoffs),
       suspects_(options_.crash_suspects),
       fleet_size_(options_.fleet_size_memory),
--- a/src/router/core/router_core_writing.cpp
+++ b/src/router/core/router_core_writing.cpp
@@ -52,7 +52,7 @@
       case WriteVerdict::kRecall:
         recall(now, decision.attempt);
         break;
-      case WriteVerdict::kCut:
+      case WriteVerdict::kAbort:
         cut(now, decision.attempt);
         break;
       case WriteVerdict::kHold:
--- a/src/router/core/write_guard.cpp
+++ b/src/router/core/write_guard.cpp
@@ -8,7 +8,7 @@
   switch (verdict) {
     case WriteVerdict::kRecall:
       return "recalled";
-    case WriteVerdict::kCut:
+    case WriteVerdict::kAbort:
       return "cut";
     case WriteVerdict::kHold:
       return "held";
@@ -22,7 +22,7 @@
                      const routing::TableFreshness& freshness) {
   attempts_[attempt] = {backend, is_bound};
   const TimePoint until = write_until(backend, freshness).value_or(TimePoint::max());
-  next_review_ = std::min(next_review_, std::max(until, now + options_.look_again));
+  next_review_ = std::min(next_review_, std::max(until, now + options_.review_interval));
 }
 
 void WriteGuard::on_begun(AttemptId attempt) {
@@ -44,12 +44,12 @@
 
 void WriteGuard::on_leaving(BackendId backend, std::optional<TimePoint> known_until) {
   const TimePoint long_past{};
-  closings_.try_emplace(backend, known_until.value_or(long_past) + options_.promised);
+  closings_.try_emplace(backend, known_until.value_or(long_past) + options_.departure_deadline);
 }
 
 std::optional<TimePoint> WriteGuard::closes_at(BackendId backend) const {
   const auto found = closings_.find(backend);
-  const bool is_open = options_.promised.count() == 0 || found == closings_.end();
+  const bool is_open = options_.departure_deadline.count() == 0 || found == closings_.end();
   return is_open ? std::nullopt : std::optional(found->second);
 }
 
@@ -60,13 +60,13 @@
 
 std::optional<TimePoint> WriteGuard::write_until(BackendId backend,
                                                  const routing::TableFreshness& freshness) const {
-  if (options_.promised.count() == 0) {
+  if (options_.departure_deadline.count() == 0) {
     return std::nullopt;
   }
   const auto closes = closes_at(backend);
   const TimePoint arrive_until =
-      closes.value_or(freshness.as_of().value_or(TimePoint()) + options_.promised);
-  return arrive_until - options_.way;
+      closes.value_or(freshness.as_of().value_or(TimePoint()) + options_.departure_deadline);
+  return arrive_until - options_.network_latency;
 }
 
 std::vector<WriteDecision> WriteGuard::review(TimePoint now,
@@ -84,14 +84,14 @@
       continue;
     }
     if (!is_in_time && is_leaving) {
-      decisions.push_back({id, WriteVerdict::kCut});
+      decisions.push_back({id, WriteVerdict::kAbort});
       continue;
     }
     if (attempt.is_held == is_in_time) {
       attempt.is_held = !is_in_time;
       decisions.push_back({id, is_in_time ? WriteVerdict::kResume : WriteVerdict::kHold});
     }
-    next_review_ = std::min(next_review_, std::max(until, now + options_.look_again));
+    next_review_ = std::min(next_review_, std::max(until, now + options_.review_interval));
   }
   return decisions;
 }
--- a/src/router/core/write_guard.hpp
+++ b/src/router/core/write_guard.hpp
@@ -27,17 +27,17 @@
 
 struct WriteGuardOptions {
   /// A back end whose leaving is acknowledged gets nothing more after this time; 0: no promise.
-  Duration promised{0};
+  Duration departure_deadline{0};
   /// From the last byte's hand-over to the system until it is at the back end.
-  Duration way = std::chrono::milliseconds(200);
+  Duration network_latency = std::chrono::milliseconds(200);
   /// Attempts that wait for a newer table are looked at again this often.
-  Duration look_again = std::chrono::milliseconds(20);
+  Duration review_interval = std::chrono::milliseconds(20);
 };
 
 /// What becomes of an attempt that is not written whole.
 enum class WriteVerdict : std::uint8_t {
   kRecall,  ///< not a byte has left: it may go elsewhere
-  kCut,     ///< begun; the rest would come too late
+  kAbort,   ///< begun; the rest would come too late
   kHold,    ///< begun; the rest waits until a newer table names the back end
   kResume,  ///< held before; the rest may be written
 };
--- a/test/router/route_fixture.hpp
+++ b/test/router/route_fixture.hpp
@@ -27,7 +27,7 @@
     RouterOptions options;
     options.name = common::RouterName("r");
     options.freshness.max_age = milliseconds(1500);
-    options.writes.promised = milliseconds(2000);
+    options.writes.departure_deadline = milliseconds(2000);
     return options;
   }
 
--- a/test/router/write_guard_test.cpp
+++ b/test/router/write_guard_test.cpp
@@ -60,7 +60,7 @@
   CHECK(fixture.review(500).empty());
   CHECK(fixture.review(2099).empty());
   CHECK(fixture.guard.next_review() == at(2119));
-  CHECK(fixture.review(2100) == only(WriteVerdict::kCut));
+  CHECK(fixture.review(2100) == only(WriteVerdict::kAbort));
 }
 
 TEST_CASE("an attempt that no other back end may take stays until the time is up") {
@@ -96,7 +96,7 @@
   fixture.guard.on_begun(kAttempt);
   CHECK(fixture.review(1900).empty());
   fixture.guard.on_leaving(kBackend, at(0));
-  CHECK(fixture.review(1920) == only(WriteVerdict::kCut));
+  CHECK(fixture.review(1920) == only(WriteVerdict::kAbort));
 }
 
 TEST_CASE("a back end that was never known to take work is closed at once") {
--- a/test/sim/upload_world_test.cpp
+++ b/test/sim/upload_world_test.cpp
@@ -16,7 +16,7 @@
   options.seed = seed;
   options.router.hello_interval = milliseconds(250);
   options.router.freshness.max_age = milliseconds(1500);
-  options.router.writes.promised = options.promised;
+  options.router.writes.departure_deadline = options.promised;
   options.router.send_window.bytes_per_second = options.link_bytes_per_second;
   return options;
 }
