--- a/bench/overload.cpp
+++ b/bench/overload.cpp
@@ -18,7 +18,7 @@
 constexpr std::array kWays = {
     Way{"own time",
         [](sim::OverloadOptions& options) {
-          options.router.queue_bound = 0;
+          options.router.latency_bound_fraction = 0;
           options.router.crowded_owners.is_enabled = false;
         }},
     Way{"common bound",
--- a/src/router/core/router_core.cpp
+++ b/src/router/core/router_core.cpp
@@ -29,7 +29,7 @@
       stated_departures_(options_.writes.departure_deadline),
       backoffs_(options_.backoffs),
       suspects_(options_.crash_suspects),
-      fleet_size_(options_.fleet_size_memory),
+      fleet_size_(options_.fleet_size_retention),
       next_hello_(now),
       last_hello_(now),
       hello_interval_(options_.hello_interval),
@@ -296,10 +296,11 @@
     return;
   }
   ++counters_.ended_backends;
-  ended_[backend] = {now + options_.ended_memory, is_named};
+  ended_[backend] = {now + options_.ended_retention, is_named};
   if (is_named) {
-    const TimePoint soonest = std::max(now + options_.ended_report_delay,
-                                       last_hello_ + hello_interval_ / options_.reports_per_hello);
+    const TimePoint soonest =
+        std::max(now + options_.ended_report_delay,
+                 last_hello_ + hello_interval_ / options_.ended_reports_per_hello);
     next_hello_ = std::min(next_hello_, soonest);
   }
 }
--- a/src/router/core/router_core_routed.cpp
+++ b/src/router/core/router_core_routed.cpp
@@ -155,13 +155,13 @@
 Duration RouterCore::patience(const config::Route& route,
                               const routing::RoutedTableService& service) const {
   std::optional<Duration> objective = service.shortest_objective;
-  if (options_.queue_bound <= 0) {
+  if (options_.latency_bound_fraction <= 0) {
     const Duration own = std::chrono::milliseconds(route.objective_ms);
     objective = own.count() > 0 ? std::optional(own) : std::nullopt;
   }
   return objective.has_value()
-             ? std::chrono::duration_cast<Duration>(*objective * options_.patience)
-             : options_.default_patience;
+             ? std::chrono::duration_cast<Duration>(*objective * options_.max_wait_fraction)
+             : options_.default_max_wait;
 }
 
 Duration RouterCore::usable_time(TimePoint now, const Request& request,
@@ -169,15 +169,15 @@
   const auto part = [](Duration whole, double share) {
     return std::chrono::duration_cast<Duration>(whole * share);
   };
-  const Duration own = part(request.deadline - now, options_.usable_time);
+  const Duration own = part(request.deadline - now, options_.usable_deadline_fraction);
   const bool is_bounded_by_leader = request.keyed && crowded_.has_current_list(now);
-  if (options_.queue_bound <= 0 || is_bounded_by_leader ||
+  if (options_.latency_bound_fraction <= 0 || is_bounded_by_leader ||
       !service.shortest_objective.has_value()) {
     return own;
   }
   const Duration least =
-      part(routed_service(request.service).targets.typical_time(), options_.shortest_queue);
-  const Duration common = part(*service.shortest_objective, options_.queue_bound);
+      part(routed_service(request.service).targets.typical_time(), options_.minimum_bound_factor);
+  const Duration common = part(*service.shortest_objective, options_.latency_bound_fraction);
   return std::min(own, std::max(common, least));
 }
 
--- a/src/router/core/router_core_targets.cpp
+++ b/src/router/core/router_core_targets.cpp
@@ -27,7 +27,7 @@
 bool RouterCore::is_closed(TimePoint now, const Request& request,
                            const routing::BackendRoute& backend) const {
   const auto evacuated = evacuations_.find(backend.zone);
-  const bool is_evacuated = evacuated != evacuations_.end() && options_.keep_off_evacuated;
+  const bool is_evacuated = evacuated != evacuations_.end() && options_.avoid_evacuated_zones;
   if (!request.keyed) {
     return backend.draining || stated_departures_.has_stated(backend.id) || is_evacuated;
   }
--- a/src/router/core/router_options.hpp
+++ b/src/router/core/router_options.hpp
@@ -64,27 +64,27 @@
   Duration crashing_retry_after = std::chrono::seconds(60);
   /// For how long a larger count of routers is kept. Beyond the table lease, within which a new
   /// leader has heard of every router that serves.
-  Duration fleet_size_memory = std::chrono::milliseconds(6000);
+  Duration fleet_size_retention = std::chrono::milliseconds(6000);
   /// The owner of a key in a zone that is being evacuated may get requests for this long after the
   /// router has learnt of it, so that its keys can be handed over first. 0: none.
   Duration evacuation_grace = std::chrono::milliseconds(2000);
   /// A request that is not sent within this part of its objective is refused.
-  double patience = 0.2;
+  double max_wait_fraction = 0.2;
   /// The same where its route states no objective.
-  Duration default_patience = std::chrono::milliseconds(60);
+  Duration default_max_wait = std::chrono::milliseconds(60);
   /// A request is refused where its answer is expected later than this part of the time it has.
-  double usable_time = 0.9;
+  double usable_deadline_fraction = 0.9;
   /// Nothing is sent where an answer is expected later than this part of the shortest objective
   /// among the routes of the service: longer queues would serve only those callers who bring the
   /// most time. 0: no such bound.
-  double queue_bound = 0.65;
+  double latency_bound_fraction = 0.65;
   /// A queue is not bounded below this many times the usual work time of its service.
-  double shortest_queue = 2.0;
+  double minimum_bound_factor = 2.0;
   /// A back end whose address another incarnation answers at gets nothing for this long, unless the
   /// table drops it before. It ends with certainty, but the sign of it may have been misread: then
   /// this is what the mistake costs. Leaders give up a holder within a hold (9 s at most), so a
   /// router meets the same ended back end twice at most.
-  Duration ended_memory = std::chrono::milliseconds(5000);
+  Duration ended_retention = std::chrono::milliseconds(5000);
   /// Told to callers who should come back soon.
   Duration short_retry_after = std::chrono::milliseconds(150);
   /// Told to callers whose key has no owner: what ran on it has to end, and the next owner has to
@@ -104,7 +104,7 @@
   Duration ended_report_delay = std::chrono::milliseconds(5);
   /// Such reports are at least this part of a hello's interval apart, so that routers which find
   /// many do not bury the leader in hellos.
-  int reports_per_hello = 4;
+  int ended_reports_per_hello = 4;
   /// Requests for the same key counted in one load report at most.
   std::size_t maximum_reported_keys = 400;
   routing::SubsetPolicy subset = routing::SubsetPolicy::kDeterministicAperture;
@@ -116,10 +116,10 @@
   /// Shards named in one load report at most.
   std::size_t maximum_reported_shards = 500;
   /// Safeguards; off only in mutants.
-  bool resend_unknown = false;      ///< also resend what may have run
-  bool keep_table_forever = false;  ///< serve without confirmation
-  bool claim_not_run = false;       ///< call unknown outcomes "not run"
-  bool keep_off_evacuated = true;   ///< send nothing to the back ends of an evacuated zone
+  bool resend_unknown = false;        ///< also resend what may have run
+  bool keep_table_forever = false;    ///< serve without confirmation
+  bool claim_not_run = false;         ///< call unknown outcomes "not run"
+  bool avoid_evacuated_zones = true;  ///< send nothing to the back ends of an evacuated zone
 };
 
 }  // namespace planktray::router
--- a/src/sim/route_world.cpp
+++ b/src/sim/route_world.cpp
@@ -679,7 +679,7 @@
 const std::vector<RouteMutant>& all_route_mutants() {
   static const std::vector<RouteMutant> kMutants = {
       {"ended-owners-asked-again", "a back end that another incarnation answers for gets nothing",
-       [](RouteWorldOptions& options) { options.router.ended_memory = Duration(0); }},
+       [](RouteWorldOptions& options) { options.router.ended_retention = Duration(0); }},
       {"repeats-without-bound", "repeats stay within the service's budget",
        [](RouteWorldOptions& options) { options.router.retry_window.spent_share = 20; }},
       {"unknown-called-not-run", "what may have run is never called not run",
