--- a/src/router/core/router_core.cpp
+++ b/src/router/core/router_core.cpp
@@ -355,7 +355,7 @@
   drain_queue(now, {service, backend});
 }
 
-void RouterCore::on_caller_gone(TimePoint now, RequestHandle handle) {
+void RouterCore::on_caller_disconnected(TimePoint now, RequestHandle handle) {
   const auto found = requests_.find(handle);
   if (found == requests_.end()) {
     return;
@@ -411,7 +411,7 @@
     return;
   }
   ++counters_.not_run;
-  ++ends_of(request).not_run;
+  ++outcome_counts(request).not_run;
   Answer answer = own_answer(request, Outcome::kNotRun);
   answer.reason = reason;
   answer.can_never_run = reason == NotRunReason::kUnknownService;
@@ -422,7 +422,7 @@
 
 void RouterCore::answer_unknown(const Request& request) {
   ++counters_.unknown;
-  ++ends_of(request).unknown;
+  ++outcome_counts(request).unknown;
   output_.answers.push_back(own_answer(request, Outcome::kUnknown));
   finish(request.caller.handle);
 }
@@ -439,10 +439,10 @@
   return answer;
 }
 
-RequestEnds& RouterCore::ends_of(const Request& request) {
+OutcomeCounts& RouterCore::outcome_counts(const Request& request) {
   const auto* found =
-      std::lower_bound(kTimeClasses.begin(), kTimeClasses.end(), request.time_brought);
-  return counters_.ends_by_time[static_cast<std::size_t>(found - kTimeClasses.begin())];
+      std::lower_bound(kTimeoutBuckets.begin(), kTimeoutBuckets.end(), request.time_brought);
+  return counters_.outcomes_by_timeout[static_cast<std::size_t>(found - kTimeoutBuckets.begin())];
 }
 
 void RouterCore::finish(RequestHandle handle) {
--- a/src/router/core/router_core.hpp
+++ b/src/router/core/router_core.hpp
@@ -59,13 +59,13 @@
   void on_request(TimePoint now, const CallerRequest& request);
   void on_attempt_done(TimePoint now, AttemptId attempt, const AttemptResult& result);
   /// The system has taken the first byte of an attempt. Until then it may be taken back.
-  void on_attempt_begun(AttemptId attempt) { writes_.on_begun(attempt); }
+  void on_attempt_started(AttemptId attempt) { writes_.on_begun(attempt); }
   /// The system has taken the last byte of an attempt.
   void on_attempt_written(AttemptId attempt);
   /// Whether anybody listens at a back end's address; nothing where that cannot be said.
-  void on_reach_checked(TimePoint now, BackendId backend, std::optional<bool> listens);
+  void on_reachability_probed(TimePoint now, BackendId backend, std::optional<bool> listens);
   /// The caller went away; its attempt is cancelled.
-  void on_caller_gone(TimePoint now, RequestHandle handle);
+  void on_caller_disconnected(TimePoint now, RequestHandle handle);
   /// Takes no new requests; those in flight finish.
   void begin_drain() { draining_ = true; }
   bool is_drained() const { return requests_.empty(); }
@@ -276,7 +276,7 @@
   void answer_unknown(const Request& request);
   /// The parts of an answer that is not a back end's, for logs.
   Answer own_answer(const Request& request, routing::Outcome outcome) const;
-  RequestEnds& ends_of(const Request& request);
+  OutcomeCounts& outcome_counts(const Request& request);
   void finish(RequestHandle handle);
   void block(TimePoint now, BackendId backend);
   /// Notes that another incarnation answers at the back end's address. @param is_named it said
--- a/src/router/core/router_core_answers.cpp
+++ b/src/router/core/router_core_answers.cpp
@@ -18,12 +18,13 @@
   if (suspects_.on_connection_ended({result.digest, attempt.backend, attempt.sent, now})) {
     const routing::BackendRoute* backend = table_.find_backend(attempt.backend);
     if (backend != nullptr) {
-      output_.reach_inquiries.push_back({attempt.backend, backend->address});
+      output_.reachability_probes.push_back({attempt.backend, backend->address});
     }
   }
 }
 
-void RouterCore::on_reach_checked(TimePoint now, BackendId backend, std::optional<bool> listens) {
+void RouterCore::on_reachability_probed(TimePoint now, BackendId backend,
+                                        std::optional<bool> listens) {
   if (listens.value_or(true)) {
     return suspects_.on_target_alive(backend);
   }
--- a/src/router/core/router_core_routed.cpp
+++ b/src/router/core/router_core_routed.cpp
@@ -135,7 +135,7 @@
     const bool ownerless =
         request.keyed && hindrance(now, request, owner, *service) == Hindrance::kGone;
     if (!ownerless && request.admission.has_value() && request.admission->is_crowded) {
-      ++counters_.crowd_refusals;
+      ++counters_.owner_queue_refusals;
       return answer_not_run(request, NotRunReason::kOverload, retry_after(NotRunReason::kOverload));
     }
     if (!ownerless && is_held_by_limits(now, request, *service)) {
@@ -260,7 +260,7 @@
       return dispatch_routed(now, request);
     }
     ++counters_.answered;
-    ++ends_of(request).answered;
+    ++outcome_counts(request).answered;
     output_.answers.push_back(
         {attempt.handle, Outcome::kAnswered, id, NotRunReason::kNone, false, Duration(0)});
     return finish(attempt.handle);
--- a/src/router/core/router_core_table.cpp
+++ b/src/router/core/router_core_table.cpp
@@ -38,7 +38,7 @@
   if (list.leader.empty() || list.term <= leader_term_) {
     return;  // an old word, or the leader that is known: it may be slow
   }
-  ++counters_.leaders_named;
+  ++counters_.leader_announcements;
   leader_ = list.leader;
   leader_term_ = list.term;
   leader_heard_ = now;
@@ -238,7 +238,7 @@
     // It has answered the last question; silence to this one has all asked again.
     output_.hello = plain_hello(now);
     output_.hello_to = {std::exchange(helper_, "")};
-    ++counters_.inquiries;
+    ++counters_.leader_queries;
     return;
   }
   std::vector<std::string> others;
@@ -247,7 +247,7 @@
   if (others.empty()) {
     return;
   }
-  ++counters_.inquiries;
+  ++counters_.leader_queries;
   const auto first = common::uniform(random_, 0, others.size() - 1);
   std::rotate(others.begin(), others.begin() + static_cast<std::ptrdiff_t>(first), others.end());
   others.resize(std::min(others.size(), options_.leader_search.inquired_controllers));
--- a/src/router/core/router_core_writing.cpp
+++ b/src/router/core/router_core_writing.cpp
@@ -73,7 +73,7 @@
 }
 
 void RouterCore::cut(TimePoint now, AttemptId id) {
-  ++counters_.cut_writes;
+  ++counters_.aborted_writes;
   const Attempt attempt = attempts_.at(id);
   Request& request = requests_.at(attempt.handle);
   take_back_attempt(request);
--- a/src/router/core/router_effects.hpp
+++ b/src/router/core/router_effects.hpp
@@ -56,7 +56,7 @@
 };
 
 /// A header of an answer that says something of the back end, and that nothing here reads.
-struct UnreadHeader {
+struct UnrecognizedHeader {
   std::string name;
   std::string value;
 };
@@ -73,12 +73,13 @@
   std::optional<Duration> backoff = std::nullopt;
   bool connection_ended = false;      ///< broken, since the connection was closed or reset
   routing::RequestDigest digest = 0;  ///< of the request; 0: not known
-  std::string unread_load{};  ///< the load report as it came, where not all of it could be read
-  std::vector<UnreadHeader> unread_headers{};
+  std::string unparsed_load{};  ///< the load report as it came, where not all of it could be read
+  std::vector<UnrecognizedHeader> unrecognized_headers{};
 };
 
-/// Effect: find out whether anybody listens at the back end's address, and tell on_reach_checked().
-struct ReachInquiry {
+/// Effect: find out whether anybody listens at the back end's address, and tell
+/// on_reachability_probed().
+struct ReachabilityProbe {
   common::BackendId backend;
   std::string address;
 };
@@ -109,7 +110,7 @@
   std::string address;
   common::Incarnation incarnation;
   /// Age of the last table that said otherwise; nothing where it was never confirmed.
-  std::optional<Duration> known_before;
+  std::optional<Duration> previous_table_age;
   common::LogIndex table_index;
 };
 
@@ -124,7 +125,7 @@
   std::vector<Departure> departures;
   std::vector<StatedDeparture> stated_departures;
   std::vector<BackoffRequest> backoffs;
-  std::vector<ReachInquiry> reach_inquiries;
+  std::vector<ReachabilityProbe> reachability_probes;
   std::optional<routing::RouterHello> hello;
   bool hello_to_all = false;          ///< to every controller
   std::vector<std::string> hello_to;  ///< else to these addresses
@@ -133,12 +134,12 @@
   bool empty() const {
     return forwards.empty() && cancels.empty() && write_decisions.empty() && answers.empty() &&
            limit_changes.empty() && departures.empty() && stated_departures.empty() &&
-           backoffs.empty() && reach_inquiries.empty() && !hello.has_value();
+           backoffs.empty() && reachability_probes.empty() && !hello.has_value();
   }
 };
 
 /// How requests on routes have ended.
-struct RequestEnds {
+struct OutcomeCounts {
   std::uint64_t answered = 0;
   std::uint64_t not_run = 0;
   std::uint64_t unknown = 0;
@@ -146,7 +147,7 @@
 
 /// Upper ends of the classes in which requests on routes are counted by the time that they bring:
 /// the lesser of what their caller states and their route's timeout. One more class lies above.
-inline constexpr std::array<Duration, 4> kTimeClasses = {
+inline constexpr std::array<Duration, 4> kTimeoutBuckets = {
     std::chrono::milliseconds(500), std::chrono::milliseconds(1000),
     std::chrono::milliseconds(2000), std::chrono::milliseconds(5000)};
 
@@ -160,21 +161,22 @@
   std::uint64_t refusals = 0;
   std::uint64_t table_updates = 0;
   std::uint64_t cancelled = 0;
-  std::uint64_t inquiries = 0;       ///< the leader was silent, others were asked
-  std::uint64_t leaders_named = 0;   ///< a new leader was named by itself or another controller
+  std::uint64_t leader_queries = 0;  ///< the leader was silent, others were asked
+  std::uint64_t leader_announcements =
+      0;                             ///< a new leader was named by itself or another controller
   std::uint64_t crash_refusals = 0;  ///< refused since it crashes its targets
   std::uint64_t crashes_seen = 0;    ///< back ends found to have ended with requests under way
   std::uint64_t limit_refusals = 0;  ///< refused since the target's limit left no room
-  std::uint64_t crowd_refusals = 0;  ///< refused since the owner's queue is too long
+  std::uint64_t owner_queue_refusals = 0;  ///< refused since the owner's queue is too long
   std::uint64_t stale_refusals = 0;  ///< requests on routes that came while the table was too old
   std::uint64_t stated_departures = 0;  ///< back ends that said so before the table did
   std::uint64_t backoff_requests = 0;   ///< answers that asked for a time without requests
   std::uint64_t backoff_refusals = 0;   ///< refused since all that could run it had asked for it
   std::uint64_t recalled = 0;           ///< attempts taken back before their first byte
   std::uint64_t held_writes = 0;        ///< attempts whose rest waited for a newer table
-  std::uint64_t cut_writes = 0;         ///< attempts cut off since their back end was leaving
+  std::uint64_t aborted_writes = 0;     ///< attempts cut off since their back end was leaving
   std::uint64_t follower_updates = 0;   ///< updates of the table that followers brought
-  std::array<RequestEnds, kTimeClasses.size() + 1> ends_by_time{};
+  std::array<OutcomeCounts, kTimeoutBuckets.size() + 1> outcomes_by_timeout{};
 };
 
 }  // namespace planktray::router
--- a/src/router/request_log.cpp
+++ b/src/router/request_log.cpp
@@ -111,7 +111,7 @@
   log_event("leaving_while_written",
             {{"peer", departure.address},
              {"instance", departure.incarnation.value},
-             {"known_before_ms", milliseconds_text(departure.known_before)},
+             {"known_before_ms", milliseconds_text(departure.previous_table_age)},
              {"table_index", std::to_string(departure.table_index.value)},
              {"attempts", std::to_string(unwritten.attempts)},
              {"begun", std::to_string(unwritten.begun)},
@@ -133,7 +133,7 @@
 }
 
 void RequestLog::header_unread(common::TimePoint now, const SentAttempt& attempt,
-                               const UnreadHeader& header) {
+                               const UnrecognizedHeader& header) {
   constexpr std::size_t kMostNames = 32;
   ++unread_headers_;
   const bool is_new = unread_names_.size() < kMostNames && unread_names_.insert(header.name).second;
--- a/src/router/request_log.hpp
+++ b/src/router/request_log.hpp
@@ -89,7 +89,8 @@
   void load_unread(common::TimePoint now, const SentAttempt& attempt, const std::string& text);
   std::uint64_t unread_loads() const { return unread_loads_; }
   /// A back end says something that nothing here reads: one line for each new name, a few again.
-  void header_unread(common::TimePoint now, const SentAttempt& attempt, const UnreadHeader& header);
+  void header_unread(common::TimePoint now, const SentAttempt& attempt,
+                     const UnrecognizedHeader& header);
   std::uint64_t unread_headers() const { return unread_headers_; }
   /// A back end names another limit than before, or none any more.
   void limit_changed(common::TimePoint now, const LimitChange& change);
--- a/src/router/router_metrics.cpp
+++ b/src/router/router_metrics.cpp
@@ -33,7 +33,7 @@
                      static_cast<double>(core_.blocked_requests(boot_time_now())));
   metrics_.set_counter("planktray_crowd_refusals_total",
                        "Requests on routes refused since the queue of their key's owner is long.",
-                       counters.crowd_refusals);
+                       counters.owner_queue_refusals);
   metrics_.set_gauge("planktray_crowded_owners",
                      "Owners of keys of whose requests only a part is sent.",
                      static_cast<double>(core_.crowded_owners(boot_time_now())));
@@ -83,7 +83,7 @@
                        counters.held_writes);
   metrics_.set_counter("planktray_cut_writes_total",
                        "Attempts cut off while they were written, as their back end was leaving.",
-                       counters.cut_writes);
+                       counters.aborted_writes);
   metrics_.set_counter("planktray_late_writes_total",
                        "Requests written long after their back end was known to take them.",
                        request_log_.late_writes());
@@ -117,12 +117,12 @@
 }
 
 void RouterProcess::add_time_metrics() {
-  const auto& classes = core_.counters().ends_by_time;
+  const auto& classes = core_.counters().outcomes_by_timeout;
   for (std::size_t i = 0; i < classes.size(); ++i) {
     std::string name = "planktray_time_brought_above_";
-    if (i < kTimeClasses.size()) {
+    if (i < kTimeoutBuckets.size()) {
       name = "planktray_time_brought_up_to_";
-      name += std::to_string(kTimeClasses.at(i) / std::chrono::milliseconds(1));
+      name += std::to_string(kTimeoutBuckets.at(i) / std::chrono::milliseconds(1));
       name += "ms_";
     }
     const auto add = [&](const char* end, std::uint64_t total) {
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -296,7 +296,7 @@
   const Caller& caller = callers_[handle] = {exchange, std::move(*read), boot_time_now()};
   exchange->on_gone([this, handle] {
     callers_.erase(handle);
-    core_.on_caller_gone(boot_time_now(), handle);
+    core_.on_caller_disconnected(boot_time_now(), handle);
     flush();
   });
   unread_.Observe(std::chrono::duration<double>(caller.arrived - exchange->first_byte()).count());
@@ -381,7 +381,7 @@
   for (const Departure& departure : output.departures) {
     note_departure(departure);
   }
-  for (const ReachInquiry& inquiry : output.reach_inquiries) {
+  for (const ReachabilityProbe& inquiry : output.reachability_probes) {
     check_reach(inquiry);
   }
   for (const WriteDecision& decision : output.write_decisions) {
@@ -414,13 +414,13 @@
   request_log_.write_decided(boot_time_now(), decision.verdict, found->second.attempt);
 }
 
-void RouterProcess::check_reach(const ReachInquiry& inquiry) {
+void RouterProcess::check_reach(const ReachabilityProbe& inquiry) {
   reach_checker_.check(inquiry.address, [this, backend = inquiry.backend](transport::Reach reach) {
     std::optional<bool> listens;
     if (reach != transport::Reach::kUnknown) {
       listens = reach == transport::Reach::kListens;
     }
-    core_.on_reach_checked(boot_time_now(), backend, listens);
+    core_.on_reachability_probed(boot_time_now(), backend, listens);
     flush();
   });
 }
@@ -521,7 +521,7 @@
   }
   if (stage == transport::SendStage::kBegun) {
     sent.begun = took;
-    core_.on_attempt_begun(attempt);
+    core_.on_attempt_started(attempt);
     write_begun_.Observe(std::chrono::duration<double>(took).count());
     return;
   }
@@ -569,10 +569,10 @@
     result.digest = dialect_->digest(*caller->second.exchange);
   }
   const common::TimePoint now = boot_time_now();
-  if (!result.unread_load.empty()) {
-    request_log_.load_unread(now, found->second.attempt, result.unread_load);
+  if (!result.unparsed_load.empty()) {
+    request_log_.load_unread(now, found->second.attempt, result.unparsed_load);
   }
-  for (const UnreadHeader& header : result.unread_headers) {
+  for (const UnrecognizedHeader& header : result.unrecognized_headers) {
     request_log_.header_unread(now, found->second.attempt, header);
   }
   if (result.end == routing::AttemptEnd::kAnswered) {
--- a/src/router/router_process.hpp
+++ b/src/router/router_process.hpp
@@ -94,7 +94,7 @@
   void flush();
   void carry_out(const RouterOutput& output);
   void carry_out(const WriteDecision& decision);
-  void check_reach(const ReachInquiry& inquiry);
+  void check_reach(const ReachabilityProbe& inquiry);
   void note_changes();
   void note_contact();
   void adopt_limits();
--- a/src/sim/route_world.cpp
+++ b/src/sim/route_world.cpp
@@ -495,13 +495,13 @@
       for (const Answer& answer : output.answers) {
         on_answer(answer);
       }
-      for (const router::ReachInquiry& inquiry : output.reach_inquiries) {
+      for (const router::ReachabilityProbe& inquiry : output.reachability_probes) {
         const auto place = static_cast<std::size_t>(&node - nodes_.data());
         after(kReachDelay, [this, place, life = node.life, inquiry] {
           Node& asker = nodes_[place];
           if (asker.life == life) {
             const bool listens = at_address_.contains(inquiry.address);
-            asker.core->on_reach_checked(now_, inquiry.backend, listens);
+            asker.core->on_reachability_probed(now_, inquiry.backend, listens);
             flush(asker);
           }
         });
--- a/src/sim/upload_world.cpp
+++ b/src/sim/upload_world.cpp
@@ -195,7 +195,7 @@
       const router::RouterCounters& counters = router->core.counters();
       result_.recalled += counters.recalled;
       result_.held += counters.held_writes;
-      result_.cut += counters.cut_writes;
+      result_.cut += counters.aborted_writes;
     }
     return result_;
   }
@@ -375,7 +375,7 @@
 
   void write_piece(std::size_t place, AttemptId attempt, std::size_t bytes) {
     Router& router = *routers_[place];
-    router.core.on_attempt_begun(attempt);
+    router.core.on_attempt_started(attempt);
     if (router.link.passed(router.transfers.at(attempt).body, bytes)) {
       finish_body(place, attempt);
     }
--- a/test/controller/fleet.hpp
+++ b/test/controller/fleet.hpp
@@ -121,7 +121,7 @@
       for (const router::Forward& forward : output.forwards) {
         ++answers.forwarded;
         answers.instances.insert(forward.incarnation.value);
-        router->on_caller_gone(now_, forward.handle);
+        router->on_caller_disconnected(now_, forward.handle);
       }
       for (const router::Answer& answer : output.answers) {
         ++(answer.can_never_run ? answers.final : answers.refused);
--- a/test/platform/request_dialect_test.cpp
+++ b/test/platform/request_dialect_test.cpp
@@ -83,10 +83,10 @@
                                                    {"x-planktray-server-mood", "low"},
                                                    {"Server-Mood", "high"},
                                                    {kLoadHeader, "1,0,3"}}));
-  REQUIRE(result.unread_headers.size() == 2);
-  CHECK(result.unread_headers[0].name == "x-planktray-server-mood");
-  CHECK(result.unread_headers[0].value == "low");
-  CHECK(result.unread_headers[1].name == "Server-Mood");
+  REQUIRE(result.unrecognized_headers.size() == 2);
+  CHECK(result.unrecognized_headers[0].name == "x-planktray-server-mood");
+  CHECK(result.unrecognized_headers[0].value == "low");
+  CHECK(result.unrecognized_headers[1].name == "Server-Mood");
 }
 
 // Guards against a word that is looked for by its prefix: a time to stay away came under a name of
@@ -100,8 +100,8 @@
                                                    {"Keep-Alive", "timeout=5"},
                                                    {"Access-Control-Allow-Origin", "*"},
                                                    {"Please-Wait", "3"}}));
-  REQUIRE(result.unread_headers.size() == 1);
-  CHECK(result.unread_headers[0].name == "Please-Wait");
+  REQUIRE(result.unrecognized_headers.size() == 1);
+  CHECK(result.unrecognized_headers[0].name == "Please-Wait");
 }
 
 TEST_CASE("the load a target tells is read, and nothing else is taken for it") {
@@ -136,7 +136,7 @@
     const auto result = judged({{kLimitHeader, given.text}});
     CHECK(result.limit.is_stated);
     CHECK(result.limit.per_second == given.value);
-    CHECK(result.unread_headers.empty());
+    CHECK(result.unrecognized_headers.empty());
   }
   CHECK(judged({{"server-limit", "3"}}).limit.per_second == 3.0);
   CHECK(judged({{kLimitHeader, "7"}, {kLimitHeader, "2"}}).limit.per_second == 2.0);
@@ -145,8 +145,8 @@
     CAPTURE(text);
     const auto result = judged({{kLimitHeader, text}});
     CHECK_FALSE(result.limit.is_stated);
-    REQUIRE(result.unread_headers.size() == 1);
-    CHECK(result.unread_headers[0].value == text);
+    REQUIRE(result.unrecognized_headers.size() == 1);
+    CHECK(result.unrecognized_headers[0].value == text);
   }
   CHECK(judged({}).limit.is_stated);
   CHECK_FALSE(judged({}).limit.per_second.has_value());
@@ -177,7 +177,7 @@
   REQUIRE(with_pace.load.has_value());
   CHECK(with_pace.load->slots == 8);
   CHECK(with_pace.load->work_time_percent == 250);
-  CHECK(with_pace.unread_load.empty());
+  CHECK(with_pace.unparsed_load.empty());
   for (const char* text : {"3,1,8,250,7", "3,1,8,fast", "3,1,8,", "3,1,8,250,"}) {
     CAPTURE(text);
     const auto grown = judged(text);
@@ -185,14 +185,14 @@
     CHECK(grown.load->running == 3);
     CHECK(grown.load->waiting == 1);
     CHECK(grown.load->slots == 8);
-    CHECK(grown.unread_load == text);
+    CHECK(grown.unparsed_load == text);
   }
   for (const char* text : {"3", "3,1", "a,b,c", "3,1,-8", ","}) {
     CAPTURE(text);
-    CHECK(judged(text).unread_load == text);
+    CHECK(judged(text).unparsed_load == text);
   }
-  CHECK(judged("").unread_load.empty());
-  CHECK(judged("3,1,8").unread_load.empty());
+  CHECK(judged("").unparsed_load.empty());
+  CHECK(judged("3,1,8").unparsed_load.empty());
 }
 
 /// Sends one request to a server whose handler sees it as the dialect does.
--- a/test/platform/requested_backoff_test.cpp
+++ b/test/platform/requested_backoff_test.cpp
@@ -95,16 +95,16 @@
     CAPTURE(text);
     const auto result = turned_away(text);
     CHECK_FALSE(result.backoff.has_value());
-    REQUIRE(result.unread_headers.size() == 1);
-    CHECK(result.unread_headers[0].name == kRetryAfterHeader);
-    CHECK(result.unread_headers[0].value == text);
+    REQUIRE(result.unrecognized_headers.size() == 1);
+    CHECK(result.unrecognized_headers[0].name == kRetryAfterHeader);
+    CHECK(result.unrecognized_headers[0].value == text);
   }
   const auto two = judged(kStatusUnavailable, {{kNotExecutedHeader, "1"},
                                                {kRetryAfterHeader, "1"},
                                                {"retry-after", "4"},
                                                {kRetryAfterHeader, "soon"}});
   CHECK(seconds_of(two) == 4.0);
-  CHECK(two.unread_headers.size() == 1);
+  CHECK(two.unrecognized_headers.size() == 1);
 }
 
 TEST_CASE("only a back end's own 503 speaks of a time to stay away for") {
@@ -185,7 +185,7 @@
     REQUIRE(fixture.forwards.size() < 100);
   }
   const Forward last = fixture.forwards.back();
-  fixture.core.on_attempt_begun(fixture.forwards.front().attempt);
+  fixture.core.on_attempt_started(fixture.forwards.front().attempt);
   fixture.end(12, fixture.forwards.front().attempt, turned_away("3"));
   CHECK(std::count(fixture.cancels.begin(), fixture.cancels.end(), last.attempt) == 1);
   CHECK_FALSE(fixture.answer_to(last.handle).has_value());  // others take it
--- a/test/platform/stated_departure_test.cpp
+++ b/test/platform/stated_departure_test.cpp
@@ -86,8 +86,8 @@
 TEST_CASE("a word of a leaving that cannot be read is told") {
   const auto result = judged(kStatusOk, {{kSealHeader, "s"}, {"Server-Leaving", "soon"}});
   CHECK_FALSE(result.is_leaving);
-  REQUIRE(result.unread_headers.size() == 1);
-  CHECK(result.unread_headers[0].value == "soon");
+  REQUIRE(result.unrecognized_headers.size() == 1);
+  CHECK(result.unrecognized_headers[0].value == "soon");
 }
 
 // Guards against keys that wait for an owner until the leaving one has reached a controller itself.
--- a/test/router/large_requests_test.cpp
+++ b/test/router/large_requests_test.cpp
@@ -47,7 +47,7 @@
   RouteFixture fixture(false, narrow_link());
   fixture.ask(10, kLarge);
   const RequestHandle waiting = fixture.ask(11, kLarge);
-  fixture.core.on_caller_gone(at(11), waiting);
+  fixture.core.on_caller_disconnected(at(11), waiting);
   fixture.core.on_attempt_written(fixture.forwards[0].attempt);
   fixture.run_until(100);
   CHECK(fixture.forwards.size() == 1);
--- a/test/router/router_core_test.cpp
+++ b/test/router/router_core_test.cpp
@@ -211,7 +211,7 @@
 TEST_CASE("a caller that goes away cancels its attempt") {
   Fixture fixture;
   const auto attempt = fixture.ask(at(1), kFree, "GET").forwards.at(0).attempt;
-  fixture.core.on_caller_gone(at(1), 1);
+  fixture.core.on_caller_disconnected(at(1), 1);
   const RouterOutput output = fixture.core.take_output();
   REQUIRE(output.cancels.size() == 1);
   CHECK(output.cancels[0] == attempt);
@@ -441,7 +441,7 @@
         core.on_attempt_done(now + core.options().targets.initial_time, forward.attempt,
                              {routing::AttemptEnd::kAnswered, {}});
       }
-      core.on_caller_gone(now + core.options().targets.initial_time, caller.handle);
+      core.on_caller_disconnected(now + core.options().targets.initial_time, caller.handle);
       (void)core.take_output();
     }
     return seen;
