--- a/src/controller/core/controller_core.cpp
+++ b/src/controller/core/controller_core.cpp
@@ -333,7 +333,7 @@
   ownership::ApplyResult result = state_.apply(entry.index, *command);
   if (leading_) {
     for (const routing::ShardRoute& shard : result.delta.shards) {
-      leases_.hasten(shard.owner);
+      leases_.renew_now(shard.owner);
     }
   }
   complete(now, entry, result);
@@ -606,7 +606,7 @@
   const std::vector<common::BackendId> given_up = next.lost;
   const auto index = propose(now, Command(std::move(next)));
   if (index.has_value()) {
-    leases_.give_up(given_up);
+    leases_.end_sessions(given_up);
     plan_index_ = *index;
   }
 }
--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -142,7 +142,7 @@
   }
 }
 
-void LeaseManager::hasten(BackendId backend) {
+void LeaseManager::renew_now(BackendId backend) {
   const auto found = sessions_.find(backend);
   if (found != sessions_.end()) {
     found->second.next_renewal = TimePoint();
@@ -215,7 +215,7 @@
   return ids;
 }
 
-void LeaseManager::give_up(const std::vector<BackendId>& backends) {
+void LeaseManager::end_sessions(const std::vector<BackendId>& backends) {
   for (const BackendId id : backends) {
     const auto found = sessions_.find(id);
     if (found != sessions_.end()) {
--- a/src/ownership/lease_manager.hpp
+++ b/src/ownership/lease_manager.hpp
@@ -75,7 +75,7 @@
   void collect(TimePoint now, const CellState& state, const membership::MachineList& machines,
                std::vector<OutgoingLease>& leases, std::vector<OutgoingRelease>& releases);
   /// Renews a back end at once, because what it holds has changed.
-  void hasten(BackendId backend);
+  void renew_now(BackendId backend);
 
   void on_lease_reply(TimePoint now, const common::MachineName& machine, BackendId backend,
                       const LeaseReply& reply);
@@ -86,7 +86,7 @@
   std::vector<BackendId> lost(TimePoint now) const;
   /// The loss of these back ends is on its way into the log: their sessions end here and now. A
   /// renewal after this point would outlive the assignment that takes their shards away.
-  void give_up(const std::vector<BackendId>& backends);
+  void end_sessions(const std::vector<BackendId>& backends);
   /// Shards that their owner has released; they may be assigned anew.
   const std::set<HeldShard>& released() const { return released_; }
   void forget_released(const HeldShard& shard) { released_.erase(shard); }
--- a/test/ownership/lease_manager_test.cpp
+++ b/test/ownership/lease_manager_test.cpp
@@ -101,7 +101,7 @@
   }
   const auto lost = fixture.manager.lost(at(800));
   REQUIRE(lost.size() == 1);
-  fixture.manager.give_up(lost);
+  fixture.manager.end_sessions(lost);
   fixture.answer(at(801), 7'000'000);
   CHECK(fixture.collect(at(900)).empty());
 }
