--- a/src/controller/core/range_controller.cpp
+++ b/src/controller/core/range_controller.cpp
@@ -124,7 +124,8 @@
   }
   return limits_.told([&](common::BackendId id, double per_second) -> std::optional<double> {
     const BackendRecord* backend = state.find_backend(id);
-    if (backend == nullptr || !state.owns_keys(id) || loads_.covered() < options_.demand_time) {
+    if (backend == nullptr || !state.owns_keys(id) ||
+        loads_.observed_time() < options_.demand_time) {
       return std::nullopt;
     }
     const double planned = std::max(options_.admitted_share * per_second, options_.least_admitted);
@@ -148,7 +149,7 @@
     }
     return {demand->second, std::max<std::uint32_t>(1, backend->slots)};
   });
-  if (loads_.covered() >= options_.demand_time) {
+  if (loads_.observed_time() >= options_.demand_time) {
     crowded_ = admission_.told();
   }
 }
@@ -275,7 +276,7 @@
   planned_state_ = state.applied();
   ownership::RangePlannerInput input{state, loads_, {},      {},
                                      {},    {},     balance, balance && now >= next_join_};
-  input.most_load = [&](const BackendRecord& backend) -> std::optional<double> {
+  input.max_load = [&](const BackendRecord& backend) -> std::optional<double> {
     const auto limit = limits_.of(backend.id);
     return limit.has_value() ? std::optional(*limit * options_.limit_share) : std::nullopt;
   };
@@ -283,7 +284,7 @@
   input.is_eligible = [&](const BackendRecord& backend) {
     return is_eligible(now, state, backend) && !is_spared(backend);
   };
-  input.must_be_emptied = [&](const BackendRecord& backend) {
+  input.must_drain = [&](const BackendRecord& backend) {
     return backend.leaving || state.is_evacuated(backend) || is_spared(backend);
   };
   input.capacity = [&](const BackendRecord& backend) { return capacities_.of(backend.id); };
@@ -294,7 +295,7 @@
     }
     return grants_.may_assign(now, state, service, record);
   };
-  input.can_be_told = [&](common::BackendId id) {
+  input.can_notify = [&](common::BackendId id) {
     return answers_.is_kept(id) || !ownership::is_told_by_answers(state, id);
   };
   if (input.join) {
--- a/src/ownership/key_loads.cpp
+++ b/src/ownership/key_loads.cpp
@@ -84,10 +84,10 @@
 
 double KeyLoads::demand(common::ServiceId service, const KeyRange& keys) const {
   const auto found = services_.find(service);
-  if (found == services_.end() || covered().count() <= 0) {
+  if (found == services_.end() || observed_time().count() <= 0) {
     return 0;
   }
-  const double half_lives = std::chrono::duration<double>(covered()) / half_life_;
+  const double half_lives = std::chrono::duration<double>(observed_time()) / half_life_;
   const double smoothed = rate(service, keys) / (1.0 - std::exp2(-half_lives));
   double counted = 0;
   const auto& last = found->second.last;
--- a/src/ownership/key_loads.hpp
+++ b/src/ownership/key_loads.hpp
@@ -34,7 +34,7 @@
   /// before clear(), and at once as high as the last fold where that is no chance.
   double demand(common::ServiceId service, const KeyRange& keys) const;
   /// Time since clear() that the rates cover.
-  common::Duration covered() const { return folded_at_ - cleared_at_; }
+  common::Duration observed_time() const { return folded_at_ - cleared_at_; }
   /// The busiest key, by what was seen since the last fold where that is enough to tell, by its
   /// smoothed rate otherwise; rate 0 where there is none.
   KeyRate hottest(common::ServiceId service) const;
--- a/src/ownership/range_planner.cpp
+++ b/src/ownership/range_planner.cpp
@@ -45,7 +45,7 @@
       return input.may_assign(service.id, range).free;
     }
     const BackendRecord* owner = input.state.find_backend(range.owner);
-    return owner != nullptr && input.must_be_emptied(*owner);
+    return owner != nullptr && input.must_drain(*owner);
   });
 }
 
@@ -76,7 +76,7 @@
   const std::vector<Segment> segments = work.segments();
   for (const Segment& segment : segments) {
     const BackendRecord* owner = work.input().state.find_backend(segment.owner);
-    if (owner == nullptr || !work.input().must_be_emptied(*owner)) {
+    if (owner == nullptr || !work.input().must_drain(*owner)) {
       continue;
     }
     work.spread(segment.keys, [&](const KeyRange& piece, BackendId target) {
@@ -214,7 +214,7 @@
     const double excess = heaviest->second.load - level * heaviest->second.capacity;
     const double room = level * lightest->second.capacity - lightest->second.load;
     const double wanted = std::min(excess, room);
-    const bool is_bounded = heaviest->second.most_load.has_value();
+    const bool is_bounded = heaviest->second.max_load.has_value();
     const double gain = options_.smallest_gain * level *
                         (is_bounded ? std::min(1.0, heaviest->second.capacity) : 1.0);
     const double least = std::max(gain, telling_load());
--- a/src/ownership/range_planner.hpp
+++ b/src/ownership/range_planner.hpp
@@ -45,7 +45,7 @@
   /// True where the back end may get keys.
   std::function<bool(const BackendRecord&)> is_eligible;
   /// True where an owner is to give up all its keys.
-  std::function<bool(const BackendRecord&)> must_be_emptied;
+  std::function<bool(const BackendRecord&)> must_drain;
   /// Requests that it can answer, relative to a typical one of its service; above 0.
   std::function<double(const BackendRecord&)> capacity;
   /// Whether a moving or unowned range may be given to another owner.
@@ -54,9 +54,9 @@
   bool join = false;     ///< whether neighbours of one owner become one range in this call
   /// Whether an owner can be told of a move at once. Keys move for balance only from those: from
   /// the others they would lie still until they can be told. Unset: all can.
-  std::function<bool(BackendId)> can_be_told{};
+  std::function<bool(BackendId)> can_notify{};
   /// Requests a second that a target may be given at most. Unset, or nothing: no bound.
-  std::function<std::optional<double>(const BackendRecord&)> most_load{};
+  std::function<std::optional<double>(const BackendRecord&)> max_load{};
 };
 
 class RangePlanner {
--- a/src/ownership/range_workspace.cpp
+++ b/src/ownership/range_workspace.cpp
@@ -38,8 +38,8 @@
   for (const auto& [id, backend] : input.state.backends()) {
     if (backend.pool.value == service.config.name.value && input.is_eligible(backend)) {
       targets_[id].capacity = input.capacity(backend);
-      targets_[id].may_give_up = !input.can_be_told || input.can_be_told(id);
-      targets_[id].most_load = input.most_load ? input.most_load(backend) : std::nullopt;
+      targets_[id].may_give_up = !input.can_notify || input.can_notify(id);
+      targets_[id].max_load = input.max_load ? input.max_load(backend) : std::nullopt;
       total_capacity_ += targets_[id].capacity;
     }
   }
@@ -58,8 +58,8 @@
     const double present = level();
     total_capacity_ = 0;
     for (auto& [id, target] : targets_) {
-      if (target.most_load.has_value()) {
-        const double bounded = std::max(*target.most_load / present, kLeastCapacity);
+      if (target.max_load.has_value()) {
+        const double bounded = std::max(*target.max_load / present, kLeastCapacity);
         target.capacity = std::min(target.capacity, bounded);
       }
       total_capacity_ += target.capacity;
--- a/src/ownership/range_workspace.hpp
+++ b/src/ownership/range_workspace.hpp
@@ -25,7 +25,7 @@
     double load = 0;          ///< requests a second, with what the plan adds
     bool may_give_up = true;  ///< keys may move off it for balance now
     /// Requests a second that it may be given at most; its capacity is no more than that.
-    std::optional<double> most_load;
+    std::optional<double> max_load;
 
     double utilization() const { return load / capacity; }
   };
--- a/test/ownership/range_planner_test.cpp
+++ b/test/ownership/range_planner_test.cpp
@@ -61,7 +61,7 @@
   }
   ApplyRangePlan plan(bool balance, bool join = false) const {
     RangePlannerInput input{state, loads, {}, {}, {}, {}, balance, join};
-    input.must_be_emptied = [](const BackendRecord& backend) { return backend.leaving; };
+    input.must_drain = [](const BackendRecord& backend) { return backend.leaving; };
     input.is_eligible = [&](const BackendRecord& backend) {
       return !backend.leaving && !ineligible.contains(backend.id);
     };
@@ -69,8 +69,8 @@
     input.may_assign = [&](ServiceId, const RangeRecord&) {
       return GrantManager::Verdict{true, ""};
     };
-    input.can_be_told = [&](BackendId id) { return !out_of_hearing.contains(id); };
-    input.most_load = [&](const BackendRecord& backend) {
+    input.can_notify = [&](BackendId id) { return !out_of_hearing.contains(id); };
+    input.max_load = [&](const BackendRecord& backend) {
       const auto found = bounds.find(backend.id);
       return found == bounds.end() ? std::nullopt : std::optional(found->second);
     };
@@ -394,7 +394,7 @@
   };
   fold(500, 5);
   fold(1000, 5);
-  CHECK(loads.covered() == std::chrono::milliseconds(1000));
+  CHECK(loads.observed_time() == std::chrono::milliseconds(1000));
   CHECK(loads.demand(service, KeyRange()) == doctest::Approx(10).epsilon(0.15));
   fold(1300, 30);
   CHECK(loads.demand(service, KeyRange()) == doctest::Approx(100).epsilon(0.01));
