--- a/bench/leader_load.cpp
+++ b/bench/leader_load.cpp
@@ -201,7 +201,7 @@
         timed([&] { core_.on_persisted(now_, request.sequence); });
       }
       const auto answer = [&](ownership::OrderId id) {
-        timed([&] { core_.on_order_reply(now_, id, {ownership::OrderEnd::kAccepted, ""}); });
+        timed([&] { core_.on_order_reply(now_, id, {ownership::OrderOutcome::kAccepted, ""}); });
       };
       for (const ownership::GrantOrder& order : output.grants) {
         answer(order.id);
--- a/src/controller/core/controller_core.cpp
+++ b/src/controller/core/controller_core.cpp
@@ -137,7 +137,7 @@
                                     const ownership::OrderReply& reply) {
   const auto backend = ranges_.on_order_reply(now, state_, id, reply);
   const bool is_named = !reply.answered_by.value.empty();
-  if (backend.has_value() && reply.end == ownership::OrderEnd::kGone && is_named) {
+  if (backend.has_value() && reply.outcome == ownership::OrderOutcome::kReplaced && is_named) {
     mark_ended(now, *backend);
   } else if (backend.has_value() && reply.is_leaving) {
     mark_stated_departure(now, *backend);
--- a/src/controller/core/holder_answers.cpp
+++ b/src/controller/core/holder_answers.cpp
@@ -25,7 +25,7 @@
   if (kept_.empty()) {
     return answers;
   }
-  const std::set<common::BackendId> with_news = grants.holders_with_news(now);
+  const std::set<common::BackendId> with_news = grants.holders_to_notify(now);
   for (auto kept = kept_.begin(); kept != kept_.end();) {
     const auto& [backend, heartbeat] = *kept;
     if (now < heartbeat.answer_by && !with_news.contains(backend)) {
@@ -33,7 +33,7 @@
       continue;
     }
     answers.push_back(
-        {heartbeat.request, grants.answer_report(now, heartbeat.received, state, backend)});
+        {heartbeat.request, grants.answer_heartbeat(now, heartbeat.received, state, backend)});
     kept = kept_.erase(kept);
   }
   return answers;
--- a/src/controller/core/range_controller.cpp
+++ b/src/controller/core/range_controller.cpp
@@ -73,7 +73,7 @@
     const ownership::OrderReply& reply) {
   const auto backend = grants_.on_reply(now, id, reply);
   const BackendRecord* record = backend.has_value() ? state.find_backend(*backend) : nullptr;
-  const bool accepted = reply.end == ownership::OrderEnd::kAccepted;
+  const bool accepted = reply.outcome == ownership::OrderOutcome::kAccepted;
   if (record != nullptr && accepted) {
     heartbeats_.note_answer(now, record->incarnation);
   }
@@ -86,7 +86,7 @@
 
 void RangeController::take_report(TimePoint now, const CellState& state, common::BackendId backend,
                                   const ownership::HoldingsReport& report) {
-  grants_.take_report(now, state, backend, report);
+  grants_.on_holdings_report(now, state, backend, report);
   if (!report.released.empty()) {
     next_plan_ = now;  // keys may have become free
   }
@@ -291,12 +291,12 @@
   input.may_assign = [&](common::ServiceId service, const ownership::RangeRecord& record) {
     const auto found = state.routed_services().find(service);
     if (!is_settled(now, state, found->second)) {
-      return ownership::GrantManager::Verdict();
+      return ownership::GrantManager::Availability();
     }
     return grants_.may_assign(now, state, service, record);
   };
   input.can_notify = [&](common::BackendId id) {
-    return answers_.is_kept(id) || !ownership::is_told_by_answers(state, id);
+    return answers_.is_kept(id) || !ownership::has_heartbeat_grants(state, id);
   };
   if (input.join) {
     next_join_ = now + options_.join_interval;
--- a/src/controller/order_sender.cpp
+++ b/src/controller/order_sender.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using ownership::GrantOrder;
-using ownership::OrderEnd;
+using ownership::OrderOutcome;
 using ownership::OrderReply;
 using ownership::ReleaseOrder;
 
@@ -72,7 +72,8 @@
   log_grant(order, reply, response);
   auto& queue = waiting_.at(order.backend);
   queue.pop_front();
-  const bool failed = reply.end == OrderEnd::kNotSent || reply.end == OrderEnd::kUnanswered;
+  const bool failed =
+      reply.outcome == OrderOutcome::kNotSent || reply.outcome == OrderOutcome::kUnanswered;
   counters_.failed += failed ? 1 : 0;
   const auto given_up = failed ? std::exchange(queue, {}) : std::deque<GrantOrder>();
   if (queue.empty()) {
@@ -82,7 +83,7 @@
   }
   on_reply_(order.id, reply);
   for (const GrantOrder& never_sent : given_up) {
-    on_reply_(never_sent.id, {OrderEnd::kNotSent, ""});
+    on_reply_(never_sent.id, {OrderOutcome::kNotSent, ""});
   }
 }
 
@@ -127,24 +128,26 @@
   Releases& releases = releases_.at(order.backend);
   --releases.under_way;
   // Where no connection comes up, the others would only wait for the same.
-  const auto given_up = reply.end == OrderEnd::kNotSent ? std::exchange(releases.waiting, {})
-                                                        : std::deque<ReleaseOrder>();
-  const bool failed = reply.end == OrderEnd::kNotSent || reply.end == OrderEnd::kUnanswered;
+  const auto given_up = reply.outcome == OrderOutcome::kNotSent
+                            ? std::exchange(releases.waiting, {})
+                            : std::deque<ReleaseOrder>();
+  const bool failed =
+      reply.outcome == OrderOutcome::kNotSent || reply.outcome == OrderOutcome::kUnanswered;
   counters_.failed += (failed ? 1 : 0) + given_up.size();
   releases_open_ -= 1 + given_up.size();
   send_waiting_releases(order.backend);
   on_reply_(order.id, reply);
   for (const ReleaseOrder& never_sent : given_up) {
-    on_reply_(never_sent.id, {OrderEnd::kNotSent, ""});
+    on_reply_(never_sent.id, {OrderOutcome::kNotSent, ""});
   }
 }
 
 void OrderSender::log_grant(const GrantOrder& order, const OrderReply& reply,
                             const transport::HttpResponse& response) const {
-  if (reply.end == OrderEnd::kAccepted) {
+  if (reply.outcome == OrderOutcome::kAccepted) {
     return;  // renewals go on all the time
   }
-  transport::log_event("grant_failed", {{"outcome", std::string(to_string(reply.end))},
+  transport::log_event("grant_failed", {{"outcome", std::string(to_string(reply.outcome))},
                                         {"order", std::to_string(order.id)},
                                         {"backend", order.incarnation.value},
                                         {"peer", order.address},
@@ -157,7 +160,7 @@
 
 void OrderSender::log_release(const ReleaseOrder& order, const OrderReply& reply,
                               const transport::HttpResponse& response) const {
-  transport::log_event("release", {{"outcome", std::string(to_string(reply.end))},
+  transport::log_event("release", {{"outcome", std::string(to_string(reply.outcome))},
                                    {"order", std::to_string(order.id)},
                                    {"backend", order.incarnation.value},
                                    {"peer", order.address},
--- a/src/ownership/grant_manager.cpp
+++ b/src/ownership/grant_manager.cpp
@@ -16,24 +16,24 @@
 
 }  // namespace
 
-bool is_told_by_answers(const CellState& state, BackendId id) {
+bool has_heartbeat_grants(const CellState& state, BackendId id) {
   const BackendRecord* backend = state.find_backend(id);
   return backend != nullptr && backend->has_contract(OwnershipContract::kReportedGrant);
 }
 
-std::string_view to_string(OrderEnd end) {
-  switch (end) {
-    case OrderEnd::kAccepted:
+std::string_view to_string(OrderOutcome outcome) {
+  switch (outcome) {
+    case OrderOutcome::kAccepted:
       return "accepted";
-    case OrderEnd::kFenced:
+    case OrderOutcome::kFenced:
       return "fenced";
-    case OrderEnd::kGone:
+    case OrderOutcome::kReplaced:
       return "gone";
-    case OrderEnd::kRefused:
+    case OrderOutcome::kRefused:
       return "refused";
-    case OrderEnd::kNotSent:
+    case OrderOutcome::kNotSent:
       return "not-sent";
-    case OrderEnd::kUnanswered:
+    case OrderOutcome::kUnanswered:
       return "unanswered";
   }
   return "unanswered";
@@ -80,7 +80,7 @@
       Holding holding;
       holding.owner = record.owner;
       holding.next_order = now;
-      holding.is_reported = is_told_by_answers(state, record.owner);
+      holding.is_reported = has_heartbeat_grants(state, record.owner);
       holding.may_hold = true;
       if (holding.is_reported) {
         holding.held_until = options_.wait_after_election ? earlier_answers_end_ : now;
@@ -143,7 +143,7 @@
   Holding holding;
   holding.owner = record.owner;
   holding.next_order = now;
-  holding.is_reported = is_told_by_answers(state, record.owner);
+  holding.is_reported = has_heartbeat_grants(state, record.owner);
   holding.held_until = now + true_time(holding.is_reported ? options_.reported_hold_time : hold_);
   bool is_new = true;
   // A part of a range is held as the whole was; joined ranges as the longest-held of them.
@@ -389,11 +389,11 @@
   if (order.is_try) {
     reach_.note_try_ended();
   }
-  if (reply.end == OrderEnd::kNotSent) {
+  if (reply.outcome == OrderOutcome::kNotSent) {
     return reach_.note_unreached(now, order.backend, order.sent);
   }
   // One that takes connections and does not answer may carry orders out late: that says nothing.
-  if (reply.end != OrderEnd::kUnanswered && reach_.note_answer(order.backend)) {
+  if (reply.outcome != OrderOutcome::kUnanswered && reach_.note_answer(order.backend)) {
     rounds_[order.backend].next = now;  // what was put off is due at once
   }
 }
@@ -420,7 +420,7 @@
     if (!concerned) {
       continue;
     }
-    holding.gone = holding.gone || reply.end == OrderEnd::kGone;
+    holding.gone = holding.gone || reply.outcome == OrderOutcome::kReplaced;
     if (!order.is_release) {
       holding.grants_under_way -= holding.grants_under_way > 0 ? 1 : 0;
       take_grant_reply(now, order, reply, key, holding);
@@ -431,13 +431,13 @@
   const auto round = rounds_.try_emplace(order.backend, Round{now + renewal_interval(), 0}).first;
   if (order.is_round) {
     round->second.under_way -= round->second.under_way > 0 ? 1 : 0;
-    if (reply.end == OrderEnd::kUnanswered || reply.end == OrderEnd::kNotSent) {
+    if (reply.outcome == OrderOutcome::kUnanswered || reply.outcome == OrderOutcome::kNotSent) {
       round->second.next =
           std::min(round->second.next, std::max(now, order.sent + options_.retry_interval));
     }
   }
   const bool changes_nothing_else =
-      order.is_round && reply.end == OrderEnd::kAccepted && !made_room;
+      order.is_round && reply.outcome == OrderOutcome::kAccepted && !made_room;
   next_due_ = changes_nothing_else ? std::min(next_due_, round->second.next) : now;
   return order.backend;
 }
@@ -453,8 +453,8 @@
 
 void GrantManager::take_grant_reply(TimePoint now, const Order& order, const OrderReply& reply,
                                     const HoldingKey& key, Holding& holding) const {
-  switch (reply.end) {
-    case OrderEnd::kAccepted:
+  switch (reply.outcome) {
+    case OrderOutcome::kAccepted:
       holding.held_until = std::max(holding.held_until, now + true_time(order.hold));
       holding.presumed_until = TimePoint();
       if (key.fence == order.fence) {
@@ -462,27 +462,27 @@
         holding.established = holding.established || order.keys.contains(key.keys);
       }
       break;
-    case OrderEnd::kUnanswered:
+    case OrderOutcome::kUnanswered:
       // It may have waited for others before it was sent.
       holding.doubtful_until =
           std::max(holding.doubtful_until, now + options_.late_delivery + true_time(order.hold));
       holding.next_order = std::max(now, order.sent + options_.retry_interval);
       break;
-    case OrderEnd::kFenced:
+    case OrderOutcome::kFenced:
       holding.refused = true;
       break;
-    case OrderEnd::kNotSent:
-    case OrderEnd::kRefused:
+    case OrderOutcome::kNotSent:
+    case OrderOutcome::kRefused:
       holding.next_order = now + options_.retry_interval;
       break;
-    case OrderEnd::kGone:
+    case OrderOutcome::kReplaced:
       break;
   }
 }
 
 void GrantManager::take_release_reply(TimePoint now, const OrderReply& reply,
                                       Holding& holding) const {
-  if (reply.end == OrderEnd::kAccepted) {
+  if (reply.outcome == OrderOutcome::kAccepted) {
     holding.released = true;
     holding.handover = reply.handover;
   } else {
@@ -507,8 +507,9 @@
   return moves;
 }
 
-GrantManager::Verdict GrantManager::may_assign(TimePoint now, const CellState& state,
-                                               ServiceId service, const RangeRecord& record) const {
+GrantManager::Availability GrantManager::may_assign(TimePoint now, const CellState& state,
+                                                    ServiceId service,
+                                                    const RangeRecord& record) const {
   if (record.owner.value == 0) {
     return {true, ""};
   }
--- a/src/ownership/grant_manager.hpp
+++ b/src/ownership/grant_manager.hpp
@@ -96,8 +96,8 @@
   bool wait_after_election = true;     ///< count the orders of earlier leaders
   bool release_with_new_fence = true;  ///< a release refuses older orders
   bool wait_for_earlier_answers =
-      true;                         ///< heartbeats prove nothing about answers of leaders before
-  bool heed_reported_holds = true;  ///< keys that a heartbeat lists are not free
+      true;                            ///< heartbeats prove nothing about answers of leaders before
+  bool respect_reported_holds = true;  ///< keys that a heartbeat lists are not free
 };
 
 using OrderId = std::uint64_t;
@@ -124,19 +124,19 @@
   Epoch fence;
 };
 
-enum class OrderEnd : std::uint8_t {
+enum class OrderOutcome : std::uint8_t {
   kAccepted,
   kFenced,      ///< it has seen a higher fence
-  kGone,        ///< another incarnation answers at the address
+  kReplaced,    ///< another incarnation answers at the address
   kRefused,     ///< any other answer
   kNotSent,     ///< no connection: nothing can have been taken
   kUnanswered,  ///< it may have been taken, or may still be
 };
 
-std::string_view to_string(OrderEnd end);
+std::string_view to_string(OrderOutcome outcome);
 
 struct OrderReply {
-  OrderEnd end = OrderEnd::kUnanswered;
+  OrderOutcome outcome = OrderOutcome::kUnanswered;
   std::string handover{};             ///< of an accepted release
   common::Incarnation answered_by{};  ///< where the answer names it
   bool is_leaving = false;            ///< the answer says so of the back end that was asked
@@ -144,7 +144,7 @@
 
 /// True where the back end hears what it holds in the answers to its heartbeats; no orders go to
 /// it.
-bool is_told_by_answers(const CellState& state, BackendId id);
+bool has_heartbeat_grants(const CellState& state, BackendId id);
 
 class GrantManager {
  public:
@@ -166,26 +166,26 @@
 
   /// Notes what a back end says it holds, in a heartbeat that is newer than all before from it.
   /// Call only while the leader lease holds.
-  void take_report(TimePoint now, const CellState& state, BackendId backend,
-                   const HoldingsReport& report);
+  void on_holdings_report(TimePoint now, const CellState& state, BackendId backend,
+                          const HoldingsReport& report);
   /// Back ends that are to hold something else than they were told last.
-  std::set<BackendId> holders_with_news(TimePoint now) const;
+  std::set<BackendId> holders_to_notify(TimePoint now) const;
   /// All that the back end is to hold, as the answer to its newest heartbeat, which arrived at
   /// `received`. Call only while the leader lease holds.
-  GrantedHoldings answer_report(TimePoint now, TimePoint received, const CellState& state,
-                                BackendId backend);
+  GrantedHoldings answer_heartbeat(TimePoint now, TimePoint received, const CellState& state,
+                                   BackendId backend);
 
   /// Keys whose holder cannot or will not hold them on: routers should stop sending, so that they
   /// can be given away.
   std::vector<RangeMove> withdrawals(TimePoint now, const CellState& state) const;
 
   /// Whether the keys of a moving range may be given to another owner now.
-  struct Verdict {
+  struct Availability {
     bool free = false;
     std::string handover;
   };
-  Verdict may_assign(TimePoint now, const CellState& state, ServiceId service,
-                     const RangeRecord& record) const;
+  Availability may_assign(TimePoint now, const CellState& state, ServiceId service,
+                          const RangeRecord& record) const;
   /// Back ends that may still take an order that they have not answered, in the order of their ids.
   std::vector<BackendId> holders_in_doubt(TimePoint now) const;
   /// How long grants should hold for the owners there are; they hold as the state says.
--- a/src/ownership/grant_manager_reports.cpp
+++ b/src/ownership/grant_manager_reports.cpp
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-void GrantManager::take_report(TimePoint now, const CellState& state, BackendId backend,
-                               const HoldingsReport& report) {
+void GrantManager::on_holdings_report(TimePoint now, const CellState& state, BackendId backend,
+                                      const HoldingsReport& report) {
   if (!active_) {
     return;
   }
@@ -55,7 +55,7 @@
     }
   }
   const bool knows_all_answers = now >= earlier_answers_end_ || !options_.wait_for_earlier_answers;
-  const bool is_held = is_listed(report.held, key.keys) && options_.heed_reported_holds;
+  const bool is_held = is_listed(report.held, key.keys) && options_.respect_reported_holds;
   if (!is_held && knows_all_answers) {
     holding.released = true;
   }
@@ -73,7 +73,7 @@
   }
 }
 
-std::set<BackendId> GrantManager::holders_with_news(TimePoint now) const {
+std::set<BackendId> GrantManager::holders_to_notify(TimePoint now) const {
   std::set<BackendId> holders;
   for (const auto& [key, holding] : holdings_) {
     if (!holding.is_reported || holding.gone || holding.released) {
@@ -88,8 +88,8 @@
   return holders;
 }
 
-GrantedHoldings GrantManager::answer_report(TimePoint now, TimePoint received,
-                                            const CellState& state, BackendId backend) {
+GrantedHoldings GrantManager::answer_heartbeat(TimePoint now, TimePoint received,
+                                               const CellState& state, BackendId backend) {
   GrantedHoldings answer;
   answer.hold_time = options_.reported_hold_time;
   if (!active_) {
@@ -115,7 +115,7 @@
     holding.may_hold = true;
     holding.held_until =
         std::max(holding.held_until, received + true_time(options_.reported_hold_time));
-    answer.rows.push_back({key.keys, key.fence, holding.established ? "" : record->handover});
+    answer.ranges.push_back({key.keys, key.fence, holding.established ? "" : record->handover});
   }
   next_due_ = now;
   return answer;
--- a/src/ownership/holdings_report.hpp
+++ b/src/ownership/holdings_report.hpp
@@ -36,7 +36,7 @@
 
 /// Part of the answer to a heartbeat: all that the back end is to hold. It releases the rest.
 struct GrantedHoldings {
-  std::vector<GrantedKeys> rows;
+  std::vector<GrantedKeys> ranges;
   common::Duration hold_time{0};  ///< from when the heartbeat was sent
 };
 
--- a/src/ownership/range_planner.cpp
+++ b/src/ownership/range_planner.cpp
@@ -56,18 +56,18 @@
     if (range.owner.value != 0 && !range.moving) {
       continue;
     }
-    const GrantManager::Verdict verdict = work.input().may_assign(service, range);
-    if (!verdict.free) {
+    const GrantManager::Availability availability = work.input().may_assign(service, range);
+    if (!availability.free) {
       continue;
     }
     const BackendRecord* intended = work.input().state.find_backend(range.move_to);
     if (intended != nullptr && work.input().is_eligible(*intended)) {
       plan.assignments.push_back(
-          {service, range.keys, range.fence, range.move_to, verdict.handover});
+          {service, range.keys, range.fence, range.move_to, availability.handover});
       continue;
     }
     work.spread(range.keys, [&](const KeyRange& piece, BackendId target) {
-      plan.assignments.push_back({service, piece, range.fence, target, verdict.handover});
+      plan.assignments.push_back({service, piece, range.fence, target, availability.handover});
     });
   }
 }
--- a/src/ownership/range_planner.hpp
+++ b/src/ownership/range_planner.hpp
@@ -49,7 +49,7 @@
   /// Requests that it can answer, relative to a typical one of its service; above 0.
   std::function<double(const BackendRecord&)> capacity;
   /// Whether a moving or unowned range may be given to another owner.
-  std::function<GrantManager::Verdict(ServiceId, const RangeRecord&)> may_assign;
+  std::function<GrantManager::Availability(ServiceId, const RangeRecord&)> may_assign;
   bool balance = false;  ///< whether keys may be moved for balance in this call
   bool join = false;     ///< whether neighbours of one owner become one range in this call
   /// Whether an owner can be told of a move at once. Keys move for balance only from those: from
--- a/src/sim/grant_world.cpp
+++ b/src/sim/grant_world.cpp
@@ -20,7 +20,7 @@
 using common::TimePoint;
 using ownership::GrantOrder;
 using ownership::KeyRange;
-using ownership::OrderEnd;
+using ownership::OrderOutcome;
 using ownership::OrderReply;
 using ownership::RangeRecord;
 using ownership::ReleaseOrder;
@@ -321,7 +321,7 @@
       return;
     }
     ++result_.reports;
-    manager_.take_report(now_, state_, heartbeat.holder, heartbeat.report);
+    manager_.on_holdings_report(now_, state_, heartbeat.holder, heartbeat.report);
     const std::uint64_t request = ++requests_;
     kept_[request] = heartbeat;
     answers_.keep(heartbeat.holder, request, now_, now_ + kAnswerDelay);
@@ -350,11 +350,11 @@
       Holder::Block& block = holder.blocks[i];
       block.must_report = block.must_report && !holder.told_released[i];
       const auto key = static_cast<std::uint32_t>(i) * kBlockKeys;
-      const auto row =
-          std::find_if(holdings.rows.begin(), holdings.rows.end(), [key](const auto& candidate) {
-            return candidate.keys.contains({key, key});
-          });
-      if (row != holdings.rows.end()) {
+      const auto row = std::find_if(holdings.ranges.begin(), holdings.ranges.end(),
+                                    [key](const auto& candidate) {
+                                      return candidate.keys.contains({key, key});
+                                    });
+      if (row != holdings.ranges.end()) {
         take_row(holder, i, row->fence, end);
       } else if (block.held_until > now_) {
         release_block(block);
@@ -414,10 +414,10 @@
   void send(const Order& order, Duration timeout) {
     const Holder& holder = *find_holder(order.backend);
     if (now_ < holder.cut_until || (!holder.up && !has_successor(holder))) {
-      return reply(now_ + kConnectTimeout, order.id, {OrderEnd::kNotSent, ""});
+      return reply(now_ + kConnectTimeout, order.id, {OrderOutcome::kNotSent, ""});
     }
     if (!holder.up) {
-      return reply(now_ + milliseconds(2), order.id, {OrderEnd::kGone, ""});
+      return reply(now_ + milliseconds(2), order.id, {OrderOutcome::kReplaced, ""});
     }
     const bool is_late = now_ < holder.late_until;
     const bool is_lost = has(GrantFault::kLostAnswers) && common::chance(random_, 0.02);
@@ -431,17 +431,17 @@
       }
     });
     if (is_late || is_lost) {
-      reply(sent + timeout, order.id, {OrderEnd::kUnanswered, ""});
+      reply(sent + timeout, order.id, {OrderOutcome::kUnanswered, ""});
     }
   }
   OrderReply take(const GrantOrder& order) {
     Holder& holder = *find_holder(order.backend);
     if (!holder.up) {
-      return {OrderEnd::kUnanswered, ""};
+      return {OrderOutcome::kUnanswered, ""};
     }
     for (std::size_t i = first_block(order.keys); i <= last_block(order.keys); ++i) {
       if (holder.blocks[i].highest > order.fence) {
-        return {OrderEnd::kFenced, ""};
+        return {OrderOutcome::kFenced, ""};
       }
     }
     ++result_.grants_taken;
@@ -452,19 +452,19 @@
       holder.blocks[i].held_until = now_ + Duration(static_cast<Duration::rep>(hold));
       taken_[i][holder.id] = std::max(taken_[i][holder.id], order.fence);
     }
-    return {OrderEnd::kAccepted, ""};
+    return {OrderOutcome::kAccepted, ""};
   }
   OrderReply take(const ReleaseOrder& order) {
     Holder& holder = *find_holder(order.backend);
     if (!holder.up) {
-      return {OrderEnd::kUnanswered, ""};
+      return {OrderOutcome::kUnanswered, ""};
     }
     ++result_.releases;
     for (std::size_t i = first_block(order.keys); i <= last_block(order.keys); ++i) {
       holder.blocks[i].highest = std::max(holder.blocks[i].highest, order.fence);
       holder.blocks[i].held_until = now_;
     }
-    return {OrderEnd::kAccepted, "handover"};
+    return {OrderOutcome::kAccepted, "handover"};
   }
 
   // ------------------------------------------------------------ the promises
@@ -536,7 +536,7 @@
       {"reported-keys-are-free", "keys that a heartbeat lists are held or worked on",
        [](GrantWorldOptions& options) {
          options.reporting_holders = options.holders;
-         options.grant.heed_reported_holds = false;
+         options.grant.respect_reported_holds = false;
        }},
       {"late-heartbeats-count", "a heartbeat that comes after a newer one says nothing",
        [](GrantWorldOptions& options) {
--- a/test/controller/controller_core_test.cpp
+++ b/test/controller/controller_core_test.cpp
@@ -390,7 +390,7 @@
   CHECK(cell.beat(cell.leader(), 1, false, 2000));
   REQUIRE_FALSE(cell.grants.empty());
   ownership::OrderReply reply;
-  reply.end = ownership::OrderEnd::kAccepted;
+  reply.outcome = ownership::OrderOutcome::kAccepted;
   leader.on_order_reply(at(cell.time), cell.grants.front().id, reply);
   cell.run_for(50);
   CHECK_FALSE(record_at(cell, cell.leader())->leaving);
--- a/test/controller/holder_answers_test.cpp
+++ b/test/controller/holder_answers_test.cpp
@@ -18,7 +18,7 @@
   const auto due = answers.collect(at(500), state, grants);
   REQUIRE(due.size() == 1);
   CHECK(due[0].request == 10);
-  CHECK(due[0].holdings.rows.empty());
+  CHECK(due[0].holdings.ranges.empty());
   CHECK(answers.collect(at(501), state, grants).empty());
 }
 
--- a/test/controller/order_sender_test.cpp
+++ b/test/controller/order_sender_test.cpp
@@ -14,7 +14,7 @@
 namespace planktray::controller {
 namespace {
 
-using ownership::OrderEnd;
+using ownership::OrderOutcome;
 using std::chrono::milliseconds;
 
 constexpr const char* kAddress = "127.0.0.1:47322";
@@ -34,9 +34,9 @@
   ownership::OrderReply read_reply(const common::Incarnation& /*expected*/,
                                    const transport::HttpResponse& response) const override {
     if (!response.is_whole()) {
-      return {response.was_sent ? OrderEnd::kUnanswered : OrderEnd::kNotSent, ""};
+      return {response.was_sent ? OrderOutcome::kUnanswered : OrderOutcome::kNotSent, ""};
     }
-    return {response.status == 200 ? OrderEnd::kAccepted : OrderEnd::kRefused, ""};
+    return {response.status == 200 ? OrderOutcome::kAccepted : OrderOutcome::kRefused, ""};
   }
 
  private:
@@ -50,7 +50,7 @@
 
 struct Ended {
   ownership::OrderId id = 0;
-  OrderEnd end = OrderEnd::kUnanswered;
+  OrderOutcome end = OrderOutcome::kUnanswered;
 };
 
 /// A sender, a back end that answers after a while, and what has ended in order.
@@ -73,7 +73,7 @@
     options.connect_timeout = milliseconds(100);
     sender = std::make_unique<OrderSender>(
         options, interface, [this](ownership::OrderId id, const ownership::OrderReply& reply) {
-          ended.push_back({id, reply.end});
+          ended.push_back({id, reply.outcome});
           if (ended.size() == wanted) {
             loop.quit();
           }
@@ -123,7 +123,7 @@
   CHECK(fixture.most_under_way == 1);
   for (std::size_t i = 0; i < fixture.ended.size(); ++i) {
     CHECK(fixture.ended[i].id == i + 1);
-    CHECK(fixture.ended[i].end == OrderEnd::kAccepted);
+    CHECK(fixture.ended[i].end == OrderOutcome::kAccepted);
   }
 }
 
@@ -136,9 +136,9 @@
   }
   fixture.run_until(3);
   CHECK(fixture.seen.size() == 1);
-  CHECK(fixture.ended[0].end == OrderEnd::kUnanswered);
-  CHECK(fixture.ended[1].end == OrderEnd::kNotSent);
-  CHECK(fixture.ended[2].end == OrderEnd::kNotSent);
+  CHECK(fixture.ended[0].end == OrderOutcome::kUnanswered);
+  CHECK(fixture.ended[1].end == OrderOutcome::kNotSent);
+  CHECK(fixture.ended[2].end == OrderOutcome::kNotSent);
 }
 
 TEST_CASE("a release is not held up by a grant that waits") {
@@ -173,7 +173,7 @@
   fixture.run_until(kRanges);
   const auto failed =
       std::count_if(fixture.ended.begin(), fixture.ended.end(),
-                    [](const Ended& order) { return order.end != OrderEnd::kAccepted; });
+                    [](const Ended& order) { return order.end != OrderOutcome::kAccepted; });
   CHECK(failed == 0);
 }
 
@@ -181,7 +181,7 @@
   Fixture fixture;
   fixture.sender->send(Fixture::grant(1, kNobodyListens));
   fixture.run_until(1);
-  CHECK(fixture.ended[0].end == OrderEnd::kNotSent);
+  CHECK(fixture.ended[0].end == OrderOutcome::kNotSent);
 }
 
 }  // namespace
--- a/test/ownership/grant_manager_reports_test.cpp
+++ b/test/ownership/grant_manager_reports_test.cpp
@@ -67,17 +67,17 @@
     apply(plan);
   }
   void report(std::int64_t time, BackendId backend, const HoldingsReport& holdings) {
-    manager.take_report(at(time), state, backend, holdings);
+    manager.on_holdings_report(at(time), state, backend, holdings);
   }
   GrantedHoldings answer(std::int64_t time, BackendId backend) {
-    return manager.answer_report(at(time), at(time), state, backend);
+    return manager.answer_heartbeat(at(time), at(time), state, backend);
   }
   /// The owner says it holds all keys, and is told what it is to hold.
   GrantedHoldings beat_holding_all(std::int64_t time) {
     report(time, x, {{{kAll, record().fence}}, {}});
     return answer(time, x);
   }
-  GrantManager::Verdict may_assign(std::int64_t time, std::uint32_t key = 0) const {
+  GrantManager::Availability may_assign(std::int64_t time, std::uint32_t key = 0) const {
     return manager.may_assign(at(time), state, service, record(key));
   }
 };
@@ -85,11 +85,11 @@
 TEST_CASE("an answer states all that a back end holds, and no order goes to it") {
   Fixture cell;
   const GrantedHoldings answer = cell.beat_holding_all(10);
-  REQUIRE(answer.rows.size() == 1);
-  CHECK(answer.rows[0].keys == kAll);
-  CHECK(answer.rows[0].fence == cell.record().fence);
+  REQUIRE(answer.ranges.size() == 1);
+  CHECK(answer.ranges[0].keys == kAll);
+  CHECK(answer.ranges[0].fence == cell.record().fence);
   CHECK(answer.hold_time == cell.options.reported_hold_time);
-  CHECK(cell.answer(11, cell.y).rows.empty());
+  CHECK(cell.answer(11, cell.y).ranges.empty());
   std::vector<GrantOrder> grants;
   std::vector<ReleaseOrder> releases;
   cell.manager.collect(at(20), cell.state, grants, releases);
@@ -102,12 +102,12 @@
   cell.beat_holding_all(kSettled);
   cell.begin_move(kLow);
   const Epoch fence = cell.record(5000).fence;
-  CHECK(cell.manager.holders_with_news(at(kSettled + 1)).empty());
+  CHECK(cell.manager.holders_to_notify(at(kSettled + 1)).empty());
   cell.report(kSettled + 20, cell.x, {{{kAll, fence}}, {}});
-  CHECK(cell.manager.holders_with_news(at(kSettled + 40)) == std::set<BackendId>{cell.x});
+  CHECK(cell.manager.holders_to_notify(at(kSettled + 40)) == std::set<BackendId>{cell.x});
   const GrantedHoldings answer = cell.answer(kSettled + 40, cell.x);
-  REQUIRE(answer.rows.size() == 1);
-  CHECK(answer.rows[0].keys == KeyRange{1000, kAll.last});
+  REQUIRE(answer.ranges.size() == 1);
+  CHECK(answer.ranges[0].keys == KeyRange{1000, kAll.last});
   CHECK_FALSE(cell.may_assign(kSettled + 50).free);
   // Still at work on them, then done.
   cell.report(kSettled + 60, cell.x, {{{kAll, fence}}, {}});
@@ -117,8 +117,8 @@
   CHECK(cell.may_assign(kSettled + 91).handover == "handover");
   cell.assign(kLow, cell.y, "handover");
   const GrantedHoldings granted = cell.answer(kSettled + 100, cell.y);
-  REQUIRE(granted.rows.size() == 1);
-  CHECK(granted.rows[0].handover == "handover");
+  REQUIRE(granted.ranges.size() == 1);
+  CHECK(granted.ranges[0].handover == "handover");
 }
 
 TEST_CASE("a lost report of a release is made up for by what the next heartbeat leaves out") {
@@ -143,7 +143,7 @@
 TEST_CASE("the hold runs from the arrival of the heartbeat, however late its answer is") {
   Fixture cell;
   cell.report(kSettled, cell.x, {{{kAll, cell.record().fence}}, {}});
-  cell.manager.answer_report(at(kSettled + 500), at(kSettled), cell.state, cell.x);
+  cell.manager.answer_heartbeat(at(kSettled + 500), at(kSettled), cell.state, cell.x);
   cell.begin_move(kAll);
   CHECK(cell.may_assign(kSettled + 2700).free);
 }
@@ -167,7 +167,7 @@
   CHECK(cell.manager.withdrawals(at(kSettled + 60), cell.state).empty());
   cell.begin_move(kAll);
   cell.answer(kSettled + 70, cell.x);
-  CHECK_FALSE(cell.manager.holders_with_news(at(kSettled + 80)).contains(cell.y));
+  CHECK_FALSE(cell.manager.holders_to_notify(at(kSettled + 80)).contains(cell.y));
   CHECK(cell.may_assign(kSettled + 80).free);
 }
 
@@ -178,7 +178,7 @@
   // The answer to the heartbeat before was lost: this one lists nothing.
   cell.report(kSettled + 1, cell.x, {});
   CHECK(cell.may_assign(kSettled + 2).free);
-  CHECK(cell.answer(kSettled + 3, cell.x).rows.empty());
+  CHECK(cell.answer(kSettled + 3, cell.x).ranges.empty());
 }
 
 TEST_CASE("keys that their owner does not take are withdrawn from it") {
--- a/test/ownership/grant_manager_test.cpp
+++ b/test/ownership/grant_manager_test.cpp
@@ -71,10 +71,10 @@
     manager.collect(at(time), state, grants, releases);
   }
   /// Sends the orders that are due and answers all of them so.
-  void run(std::int64_t time, OrderEnd end) {
+  void run(std::int64_t time, OrderOutcome outcome) {
     collect(time);
     for (const GrantOrder& order : grants) {
-      manager.on_reply(at(time + 1), order.id, {end, ""});
+      manager.on_reply(at(time + 1), order.id, {outcome, ""});
     }
   }
   bool may_assign(std::int64_t time, std::uint32_t key = 0) const {
@@ -89,7 +89,7 @@
 
 TEST_CASE("keys that are held may not be given away") {
   Fixture fixture;
-  fixture.run(0, OrderEnd::kAccepted);
+  fixture.run(0, OrderOutcome::kAccepted);
   CHECK_FALSE(fixture.may_assign(100));
   fixture.begin_move(kAll);
   CHECK_FALSE(fixture.may_assign(100));
@@ -97,23 +97,23 @@
 
 TEST_CASE("a release under a higher fence frees keys at once and brings the handover") {
   Fixture fixture;
-  fixture.run(0, OrderEnd::kAccepted);
+  fixture.run(0, OrderOutcome::kAccepted);
   const Epoch granted = fixture.record().fence;
   fixture.begin_move(kAll);
   fixture.collect(100);
   fixture.collect(120);
   REQUIRE(fixture.releases.size() == 1);
   CHECK(fixture.releases[0].fence > granted);
-  fixture.manager.on_reply(at(130), fixture.releases[0].id, {OrderEnd::kAccepted, "token"});
-  const auto verdict =
+  fixture.manager.on_reply(at(130), fixture.releases[0].id, {OrderOutcome::kAccepted, "token"});
+  const auto availability =
       fixture.manager.may_assign(at(131), fixture.state, fixture.service, fixture.record());
-  CHECK(verdict.free);
-  CHECK(verdict.handover == "token");
+  CHECK(availability.free);
+  CHECK(availability.handover == "token");
 }
 
 TEST_CASE("without a release the answered grants run out first, on a slow clock") {
   Fixture fixture;
-  fixture.run(5000, OrderEnd::kAccepted);
+  fixture.run(5000, OrderOutcome::kAccepted);
   fixture.begin_move(kAll);
   const std::int64_t end = fixture.end_of_hold(5001);
   CHECK_FALSE(fixture.may_assign(end - 2));
@@ -122,8 +122,8 @@
 
 TEST_CASE("a grant without an answer may be taken late: its time is waited out too") {
   Fixture fixture;
-  fixture.run(5000, OrderEnd::kAccepted);
-  fixture.run(5700, OrderEnd::kUnanswered);
+  fixture.run(5000, OrderOutcome::kAccepted);
+  fixture.run(5700, OrderOutcome::kUnanswered);
   fixture.begin_move(kAll);
   const std::int64_t end = fixture.end_of_hold(5700 + fixture.options.late_delivery.count() / 1000);
   CHECK_FALSE(fixture.may_assign(fixture.end_of_hold(5701) + 1000));
@@ -133,28 +133,28 @@
 
 TEST_CASE("a grant that was never sent leaves no doubt") {
   Fixture fixture;
-  fixture.run(5000, OrderEnd::kAccepted);
-  fixture.run(5700, OrderEnd::kNotSent);
+  fixture.run(5000, OrderOutcome::kAccepted);
+  fixture.run(5700, OrderOutcome::kNotSent);
   fixture.begin_move(kAll);
   CHECK(fixture.may_assign(fixture.end_of_hold(5001) + 1));
 }
 
 TEST_CASE("an answered release ends the doubt of an older grant") {
   Fixture fixture;
-  fixture.run(5000, OrderEnd::kAccepted);
-  fixture.run(5700, OrderEnd::kUnanswered);
+  fixture.run(5000, OrderOutcome::kAccepted);
+  fixture.run(5700, OrderOutcome::kUnanswered);
   fixture.begin_move(kAll);
   fixture.collect(5800);
   fixture.collect(5820);
   REQUIRE_FALSE(fixture.releases.empty());
-  fixture.manager.on_reply(at(5830), fixture.releases[0].id, {OrderEnd::kAccepted, ""});
+  fixture.manager.on_reply(at(5830), fixture.releases[0].id, {OrderOutcome::kAccepted, ""});
   CHECK(fixture.may_assign(5831));
   CHECK(fixture.manager.holders_in_doubt(at(5831)).empty());
 }
 
 TEST_CASE("a grant that is still under way is in doubt") {
   Fixture fixture;
-  fixture.run(5000, OrderEnd::kAccepted);
+  fixture.run(5000, OrderOutcome::kAccepted);
   fixture.collect(5700);
   REQUIRE(fixture.grants.size() == 1);
   CHECK(fixture.manager.holders_in_doubt(at(5701)).empty());
@@ -165,7 +165,7 @@
 
 TEST_CASE("a release is asked for again while the first has no answer") {
   Fixture fixture;
-  fixture.run(0, OrderEnd::kAccepted);
+  fixture.run(0, OrderOutcome::kAccepted);
   fixture.begin_move(kAll);
   fixture.collect(100);
   fixture.collect(120);
@@ -176,9 +176,9 @@
 
 TEST_CASE("another incarnation at the address proves that the owner has ended") {
   Fixture fixture;
-  fixture.run(0, OrderEnd::kAccepted);
+  fixture.run(0, OrderOutcome::kAccepted);
   SUBCASE("it answers an order") {
-    fixture.run(700, OrderEnd::kGone);
+    fixture.run(700, OrderOutcome::kReplaced);
     fixture.begin_move(kAll);
     CHECK(fixture.may_assign(701));
   }
@@ -191,7 +191,7 @@
 
 TEST_CASE("a new leader counts what the one before may have granted") {
   Fixture fixture;
-  fixture.run(0, OrderEnd::kAccepted);
+  fixture.run(0, OrderOutcome::kAccepted);
   fixture.begin_move(kAll);
   GrantManager next(fixture.options);
   const std::int64_t late = 9000 + fixture.options.late_delivery.count() / 1000;
@@ -215,9 +215,9 @@
 
 TEST_CASE("a holder that has answered a new leader is waited for as long as that answer says") {
   Fixture fixture;
-  fixture.run(0, OrderEnd::kAccepted);
+  fixture.run(0, OrderOutcome::kAccepted);
   fixture.manager.begin_term(at(9000), fixture.state);
-  fixture.run(9001, OrderEnd::kAccepted);
+  fixture.run(9001, OrderOutcome::kAccepted);
   fixture.begin_move(kAll);
   fixture.collect(9010);
   CHECK_FALSE(fixture.may_assign(fixture.end_of_hold(9002) - 2));
@@ -226,7 +226,7 @@
 
 TEST_CASE("the parts of a range are held as the whole was") {
   Fixture fixture;
-  fixture.run(5000, OrderEnd::kAccepted);
+  fixture.run(5000, OrderOutcome::kAccepted);
   const KeyRange part{100, 199};
   fixture.begin_move(part);
   fixture.collect(5002);
@@ -239,9 +239,9 @@
 
 TEST_CASE("keys whose holder cannot be renewed are withdrawn before the grant ends") {
   Fixture fixture;
-  fixture.run(5000, OrderEnd::kAccepted);
+  fixture.run(5000, OrderOutcome::kAccepted);
   for (std::int64_t time = 5700; time < 7000; time += 200) {
-    fixture.run(time, OrderEnd::kNotSent);
+    fixture.run(time, OrderOutcome::kNotSent);
   }
   CHECK(fixture.manager.withdrawals(at(7000), fixture.state).empty());
   CHECK(fixture.manager.withdrawals(at(fixture.end_of_hold(5001) - 90), fixture.state).size() == 1);
@@ -249,7 +249,7 @@
 
 TEST_CASE("an owner that has seen a higher fence gets its keys under a new one") {
   Fixture fixture;
-  fixture.run(0, OrderEnd::kFenced);
+  fixture.run(0, OrderOutcome::kFenced);
   CHECK(fixture.manager.withdrawals(at(2), fixture.state).size() == 1);
 }
 
@@ -262,13 +262,13 @@
 
 TEST_CASE("all that a back end holds is renewed in one round, and not before it is due") {
   Fixture fixture = fixture_of_two_ranges();
-  fixture.run(0, OrderEnd::kAccepted);
+  fixture.run(0, OrderOutcome::kAccepted);
   CHECK(fixture.grants.size() == 2);
   const std::int64_t interval =
       fixture.options.hold_time.count() / 1000 / fixture.options.renewals_per_hold;
   fixture.collect(interval - 10);
   CHECK(fixture.grants.empty());
-  fixture.run(interval + 2, OrderEnd::kAccepted);
+  fixture.run(interval + 2, OrderOutcome::kAccepted);
   REQUIRE(fixture.grants.size() == 2);
   CHECK(fixture.grants[0].handover.empty());
   fixture.collect(interval + 20);
@@ -279,7 +279,7 @@
   GrantOptions options;
   options.renewals_per_second = 0.01;  // what one owner needs is far above it
   Fixture fixture(options);
-  fixture.run(0, OrderEnd::kAccepted);
+  fixture.run(0, OrderOutcome::kAccepted);
   const std::int64_t hold = options.hold_time.count() / 1000;
   fixture.collect(hold / options.renewals_per_hold + 50);
   CHECK(fixture.grants.empty());
@@ -289,8 +289,8 @@
 
 TEST_CASE("a round without an answer is repeated soon") {
   Fixture fixture;
-  fixture.run(0, OrderEnd::kAccepted);
-  fixture.run(700, OrderEnd::kNotSent);
+  fixture.run(0, OrderOutcome::kAccepted);
+  fixture.run(700, OrderOutcome::kNotSent);
   fixture.collect(800);
   CHECK(fixture.grants.empty());
   fixture.collect(901);
@@ -302,12 +302,12 @@
   fixture.collect(5000);
   REQUIRE(fixture.grants.size() == 2);
   // The first is answered, the second may be taken late.
-  fixture.manager.on_reply(at(5001), fixture.grants[0].id, {OrderEnd::kAccepted, ""});
-  fixture.manager.on_reply(at(5500), fixture.grants[1].id, {OrderEnd::kUnanswered, ""});
+  fixture.manager.on_reply(at(5001), fixture.grants[0].id, {OrderOutcome::kAccepted, ""});
+  fixture.manager.on_reply(at(5500), fixture.grants[1].id, {OrderOutcome::kUnanswered, ""});
   ApplyRangePlan plan;
   plan.joins.push_back({fixture.service, kAll, fixture.x});
   fixture.apply(plan);
-  fixture.run(5510, OrderEnd::kNotSent);
+  fixture.run(5510, OrderOutcome::kNotSent);
   REQUIRE(fixture.grants.size() == 1);
   CHECK(fixture.grants[0].keys == kAll);
   CHECK(fixture.grants[0].fence == fixture.record().fence);
@@ -321,7 +321,7 @@
 
 TEST_CASE("grants under way when ranges are joined are in doubt") {
   Fixture fixture = fixture_of_two_ranges();
-  fixture.run(5000, OrderEnd::kAccepted);
+  fixture.run(5000, OrderOutcome::kAccepted);
   fixture.collect(5700);
   REQUIRE(fixture.grants.size() == 2);
   ApplyRangePlan plan;
@@ -335,12 +335,12 @@
   GrantOptions options;
   options.hold_per_owner = milliseconds(3000);
   Fixture fixture(options);
-  fixture.run(0, OrderEnd::kAccepted);
+  fixture.run(0, OrderOutcome::kAccepted);
   CHECK(fixture.grants.at(0).hold_time == options.hold_time);
   const Duration wanted = fixture.manager.wanted_hold(fixture.state);
   CHECK(wanted == milliseconds(3000));
   fixture.apply(SetGrantTerms{{{}, 3000}});
-  fixture.run(700, OrderEnd::kAccepted);
+  fixture.run(700, OrderOutcome::kAccepted);
   fixture.collect(1500);
   REQUIRE(fixture.grants.size() == 1);
   CHECK(fixture.grants[0].hold_time == milliseconds(3000));
@@ -379,7 +379,7 @@
     sent += fixture.grants.size();
     const std::vector<GrantOrder> grants = fixture.grants;
     for (const GrantOrder& order : grants) {
-      fixture.manager.on_reply(at(time), order.id, {OrderEnd::kAccepted, ""});
+      fixture.manager.on_reply(at(time), order.id, {OrderOutcome::kAccepted, ""});
     }
   }
   CHECK(sent == kRanges);
@@ -415,10 +415,10 @@
     fixture.collect(time);
     orders += fixture.grants.size() + fixture.releases.size();
     for (const GrantOrder& order : fixture.grants) {
-      fixture.manager.on_reply(at(time + 1), order.id, {OrderEnd::kNotSent, ""});
+      fixture.manager.on_reply(at(time + 1), order.id, {OrderOutcome::kNotSent, ""});
     }
     for (const ReleaseOrder& order : fixture.releases) {
-      fixture.manager.on_reply(at(time + 1), order.id, {OrderEnd::kNotSent, ""});
+      fixture.manager.on_reply(at(time + 1), order.id, {OrderOutcome::kNotSent, ""});
     }
   }
   CHECK(orders <= 2 * kRanges);
@@ -441,14 +441,14 @@
   std::vector<std::pair<std::int64_t, OrderId>> hanging;
   for (std::int64_t time = 0; time < 10'000; time += 10) {
     while (!hanging.empty() && hanging.front().first <= time) {
-      fixture.manager.on_reply(at(time), hanging.front().second, {OrderEnd::kNotSent, ""});
+      fixture.manager.on_reply(at(time), hanging.front().second, {OrderOutcome::kNotSent, ""});
       hanging.erase(hanging.begin());
     }
     fixture.collect(time);
     for (const GrantOrder& order : fixture.grants) {
       if (order.backend == fixture.y) {
         ++renewals;
-        fixture.manager.on_reply(at(time + 1), order.id, {OrderEnd::kAccepted, ""});
+        fixture.manager.on_reply(at(time + 1), order.id, {OrderOutcome::kAccepted, ""});
       } else {
         hanging.emplace_back(time + 400, order.id);
       }
--- a/test/ownership/range_planner_test.cpp
+++ b/test/ownership/range_planner_test.cpp
@@ -67,7 +67,7 @@
     };
     input.capacity = [&](const BackendRecord& backend) { return capacities.at(backend.id); };
     input.may_assign = [&](ServiceId, const RangeRecord&) {
-      return GrantManager::Verdict{true, ""};
+      return GrantManager::Availability{true, ""};
     };
     input.can_notify = [&](BackendId id) { return !out_of_hearing.contains(id); };
     input.max_load = [&](const BackendRecord& backend) {
--- a/test/platform/heartbeat_codec_test.cpp
+++ b/test/platform/heartbeat_codec_test.cpp
@@ -77,7 +77,7 @@
   holdings.hold_time = std::chrono::milliseconds(2610);
   CHECK(heartbeat_answer("a", &holdings) ==
         R"({"heartbeat_address":"a","hold_time":"2610ms","holds":[]})");
-  holdings.rows.push_back({{0, 4095}, common::Epoch(7), "5c0e"});
+  holdings.ranges.push_back({{0, 4095}, common::Epoch(7), "5c0e"});
   CHECK(heartbeat_answer("a", &holdings) ==
         R"({"heartbeat_address":"a","hold_time":"2610ms","holds":[[0,4095,7,"5c0e"]]})");
 }
--- a/test/platform/request_dialect_test.cpp
+++ b/test/platform/request_dialect_test.cpp
@@ -299,16 +299,16 @@
   CHECK(request.target == "/v1/grant");
   CHECK(request.body == R"({"fence":12,"from":4096,"hold_time":"4000ms","to_version":8191})");
   CHECK(transport::find_header(request.headers, kExpectedInstanceHeader) == "i-1");
-  using ownership::OrderEnd;
+  using ownership::OrderOutcome;
   CHECK(api.read_reply(order.incarnation, response(200, {{kHandoverHeader, "token"}})).handover ==
         "token");
-  CHECK(api.read_reply(order.incarnation, response(409, {})).end == OrderEnd::kFenced);
-  CHECK(api.read_reply(order.incarnation, response(421, {})).end == OrderEnd::kGone);
-  CHECK(api.read_reply(order.incarnation, response(421, {{kInstanceHeader, "i-2"}})).end ==
-        OrderEnd::kGone);
-  CHECK(api.read_reply(order.incarnation, response(421, {{kInstanceHeader, "i-1"}})).end ==
-        OrderEnd::kRefused);
-  CHECK(api.read_reply(order.incarnation, response(400, {})).end == OrderEnd::kRefused);
+  CHECK(api.read_reply(order.incarnation, response(409, {})).outcome == OrderOutcome::kFenced);
+  CHECK(api.read_reply(order.incarnation, response(421, {})).outcome == OrderOutcome::kReplaced);
+  CHECK(api.read_reply(order.incarnation, response(421, {{kInstanceHeader, "i-2"}})).outcome ==
+        OrderOutcome::kReplaced);
+  CHECK(api.read_reply(order.incarnation, response(421, {{kInstanceHeader, "i-1"}})).outcome ==
+        OrderOutcome::kRefused);
+  CHECK(api.read_reply(order.incarnation, response(400, {})).outcome == OrderOutcome::kRefused);
   CHECK_FALSE(api.read_reply(order.incarnation, response(200, {})).is_leaving);
   CHECK(api.read_reply(order.incarnation, response(200, {{kShortLeavingHeader, "1"}})).is_leaving);
   CHECK(api.read_reply(order.incarnation, response(409, {{kLeavingHeader, "1"}})).is_leaving);
@@ -316,9 +316,9 @@
                              response(421, {{kInstanceHeader, "i-2"}, {kLeavingHeader, "1"}}))
                   .is_leaving);
   HttpResponse lost;
-  CHECK(api.read_reply(order.incarnation, lost).end == OrderEnd::kNotSent);
+  CHECK(api.read_reply(order.incarnation, lost).outcome == OrderOutcome::kNotSent);
   lost.was_sent = true;
-  CHECK(api.read_reply(order.incarnation, lost).end == OrderEnd::kUnanswered);
+  CHECK(api.read_reply(order.incarnation, lost).outcome == OrderOutcome::kUnanswered);
 }
 
 }  // namespace
