--- a/src/router/core/router_options.hpp
+++ b/src/router/core/router_options.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// What a router's decisions are set to.
+/// Options of a router's decisions.
 
 #include <cstddef>
 #include <cstdint>
@@ -24,32 +24,34 @@
 
 namespace planktray::router {
 
-/// Told to callers whose request cannot run before a table or an owner is there.
+/// Retry-After of requests that cannot run before a table or an owner is available.
 inline constexpr Duration kRetryAfterUnavailable = std::chrono::milliseconds(1000);
 
 struct RouterOptions {
   common::CellName cell;
   common::RouterName name;
-  std::string address;  ///< where callers reach it
+  std::string address;  ///< at which callers reach the router
   common::ZoneName zone;
   Duration hello_interval = std::chrono::milliseconds(100);
   Duration load_interval = std::chrono::milliseconds(1000);
-  /// How long the table may be used after its last confirmation; the controllers' value.
+  /// How long the table may be used after its last confirmation; the same value as in the
+  /// controllers' settings.
   Duration table_lease = std::chrono::milliseconds(3000);
   routing::LeaderSearchOptions leader_search;
-  /// For requests on routes: their routes and back ends are promised to be in use in time.
+  /// Bounds the age of the table for requests on routes, so that changes of routes and back ends
+  /// take effect within the promised time.
   routing::FreshnessOptions freshness;
-  /// The same for their last bytes.
+  /// Bounds the time until the last byte of a request on a route is written.
   WriteGuardOptions writes;
-  /// Large requests look for a back end when their turn at the link has come.
+  /// A back end is chosen for a large request only once the link has capacity for the request.
   link::SendWindowOptions send_window;
-  /// The longest that a request takes from the choice of its back end to its arrival, beside what a
-  /// large one takes at the link.
+  /// Longest time from the choice of a request's back end until the request has arrived there,
+  /// without the transmission time of a large request on the link.
   Duration arrival_time = std::chrono::milliseconds(500);
-  /// First wait after a refusal or a failed connection; doubles up to the maximum.
+  /// Initial wait after a refusal or a failed connection; doubles up to the maximum.
   Duration minimum_backoff = std::chrono::milliseconds(5);
   Duration maximum_backoff = std::chrono::milliseconds(100);
-  /// A target that appears after the first table reaches its full share over this time.
+  /// Time over which a target that is added after the first table ramps up to its full share.
   Duration warm_up = std::chrono::milliseconds(5000);
   routing::RetryBudgetOptions retry_budget;
   /// For requests on routes.
@@ -60,66 +62,68 @@
   routing::CrowdedOwnersOptions crowded_owners;
   routing::RequestedBackoffOptions backoffs;
   routing::CrashSuspectsOptions crash_suspects;
-  /// Told to callers whose request crashes its targets: nothing gets better soon.
+  /// Retry-After of requests that crash their targets; long, since no change is expected soon.
   Duration crashing_retry_after = std::chrono::seconds(60);
-  /// For how long a larger count of routers is kept. Beyond the table lease, within which a new
-  /// leader has heard of every router that serves.
+  /// How long the largest reported number of routers is kept after a smaller one is reported.
+  /// Longer than the table lease, within which a new leader has received a hello from every serving
+  /// router.
   Duration fleet_size_retention = std::chrono::milliseconds(6000);
-  /// The owner of a key in a zone that is being evacuated may get requests for this long after the
-  /// router has learnt of it, so that its keys can be handed over first. 0: none.
+  /// How long the owner of a key in a zone under evacuation may get requests after the router has
+  /// learned of the evacuation, so that its keys can be handed over first. 0: not at all.
   Duration evacuation_grace = std::chrono::milliseconds(2000);
-  /// A request that is not sent within this part of its objective is refused.
+  /// A request that is not sent within this fraction of its latency objective is refused.
   double max_wait_fraction = 0.2;
-  /// The same where its route states no objective.
+  /// The same limit as a time, where the route states no objective.
   Duration default_max_wait = std::chrono::milliseconds(60);
-  /// A request is refused where its answer is expected later than this part of the time it has.
+  /// A request is refused if its answer is expected later than this fraction of its remaining time.
   double usable_deadline_fraction = 0.9;
-  /// Nothing is sent where an answer is expected later than this part of the shortest objective
-  /// among the routes of the service: longer queues would serve only those callers who bring the
-  /// most time. 0: no such bound.
+  /// A request is not sent if its answer is expected later than this fraction of the shortest
+  /// objective among the routes of its service: longer queues would serve only the callers with the
+  /// longest timeouts. 0: no such bound.
   double latency_bound_fraction = 0.65;
-  /// A queue is not bounded below this many times the usual work time of its service.
+  /// That bound is at least this multiple of the service's typical processing time.
   double minimum_bound_factor = 2.0;
-  /// A back end whose address another incarnation answers at gets nothing for this long, unless the
-  /// table drops it before. It ends with certainty, but the sign of it may have been misread: then
-  /// this is what the mistake costs. Leaders give up a holder within a hold (9 s at most), so a
-  /// router meets the same ended back end twice at most.
+  /// How long a back end gets no requests after another incarnation has answered at its address,
+  /// unless the table drops the back end before. The block expires since the sign may have been
+  /// misread; its duration bounds the cost of such a mistake. Leaders give up a holder within a
+  /// hold (9 s at most), so a router sends to the same ended back end at most twice.
   Duration ended_retention = std::chrono::milliseconds(5000);
-  /// Told to callers who should come back soon.
+  /// Retry-After for callers that should retry soon.
   Duration short_retry_after = std::chrono::milliseconds(150);
-  /// Told to callers whose key has no owner: what ran on it has to end, and the next owner has to
-  /// be told, before it runs again. Worked out from running times of 0.2 s and more, not measured.
-  /// Each caller is told a time of its own between this and twice as much, so that they do not come
-  /// back together.
+  /// Retry-After of requests whose key has no owner: requests at the previous owner have to end,
+  /// and the next owner has to be notified, before the key is served again. Derived from running
+  /// times of 0.2 s and more. Each caller gets a random time between this and twice as much, so
+  /// that retries do not coincide.
   Duration ownerless_retry_after = std::chrono::milliseconds(300);
-  /// Told to callers who come before a table is there; each is told a time of its own between this
-  /// and twice as much, so that they do not come back together.
+  /// Retry-After of requests that arrive before the first table; each caller gets a random time
+  /// between this and twice as much, so that retries do not coincide.
   Duration unavailable_retry_after = std::chrono::milliseconds(500);
-  /// A target in another zone counts as slower by this part.
+  /// Relative cost that is added to the expected latency of a target in another zone.
   double other_zone_cost = 0.05;
-  /// Ended back ends named in one hello at most, and as many that said that they leave.
+  /// Maximum number of ended back ends in one hello, and of back ends that announced that they
+  /// leave.
   std::size_t maximum_reported_ended = 64;
-  /// A back end found to have ended is reported after this time: other routers are about to ask it
-  /// too, and those found within it go together.
+  /// Delay before a back end that was found to have ended is reported: other routers are about to
+  /// find it too, and all back ends found within the delay share one report.
   Duration ended_report_delay = std::chrono::milliseconds(5);
-  /// Such reports are at least this part of a hello's interval apart, so that routers which find
-  /// many do not bury the leader in hellos.
+  /// Maximum number of such reports in a hello interval, so that routers that find many ended back
+  /// ends do not flood the leader with hellos.
   int ended_reports_per_hello = 4;
-  /// Requests for the same key counted in one load report at most.
+  /// Maximum number of keys in one load report.
   std::size_t maximum_reported_keys = 400;
   routing::SubsetPolicy subset = routing::SubsetPolicy::kDeterministicAperture;
   routing::ChoicePolicy choice = routing::ChoicePolicy::kPowerOfTwoChoices;
-  /// Targets a router uses at least, where a service has more.
+  /// Minimum number of targets that a router uses, where a service has more.
   std::uint32_t minimum_subset = 20;
-  /// The same for services of the route configuration that are not divided by key.
+  /// The same for services of the route configuration that are not keyed.
   routing::ZoneSubsetOptions zone_subset;
-  /// Shards named in one load report at most.
+  /// Maximum number of shards in one load report.
   std::size_t maximum_reported_shards = 500;
-  /// Safeguards; off only in mutants.
-  bool resend_unknown = false;        ///< also resend what may have run
-  bool keep_table_forever = false;    ///< serve without confirmation
-  bool claim_not_run = false;         ///< call unknown outcomes "not run"
-  bool avoid_evacuated_zones = true;  ///< send nothing to the back ends of an evacuated zone
+  // Safeguards; only mutants of the simulator change them.
+  bool resend_unknown = false;        ///< also resend requests that may have run
+  bool keep_table_forever = false;    ///< serve from a table that is no longer confirmed
+  bool claim_not_run = false;         ///< report unknown outcomes as "not run"
+  bool avoid_evacuated_zones = true;  ///< send no requests to back ends of evacuated zones
 };
 
 }  // namespace planktray::router
