--- a/src/router/core/router_core.cpp
+++ b/src/router/core/router_core.cpp
@@ -10,7 +10,7 @@
 using routing::Outcome;
 using routing::Refusal;
 
-/// Weight of a new observation in the smoothed latency of a target.
+/// A new observation has a weight of 1 / kLatencyDivisor in the smoothed latency of a target.
 constexpr int kLatencyDivisor = 8;
 
 }  // namespace
@@ -40,7 +40,7 @@
 }
 
 void RouterCore::tick(TimePoint now) {
-  freshness_.on_woken(now, next_planned());
+  freshness_.on_woken(now, next_timer());
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     const RequestHandle handle = deadlines_.begin()->second;
     expire(now, requests_.at(handle));
@@ -61,16 +61,16 @@
   if (now >= writes_.next_review()) {
     review_writes(now);
   }
-  serve_link(now);
+  dispatch_link_queue(now);
   if (now >= next_hello_) {
     make_hello(now);
-  } else if (now >= next_inquiry_) {
-    inquire(now);
+  } else if (now >= next_query_) {
+    query_controllers(now);
   }
 }
 
-TimePoint RouterCore::next_planned() const {
-  TimePoint due = std::min({next_hello_, next_inquiry_, writes_.next_review()});
+TimePoint RouterCore::next_timer() const {
+  TimePoint due = std::min({next_hello_, next_query_, writes_.next_review()});
   if (!deadlines_.empty()) {
     due = std::min(due, deadlines_.begin()->first);
   }
@@ -83,13 +83,13 @@
   return due;
 }
 
-void RouterCore::note_targets(TimePoint now) {
+void RouterCore::update_targets(TimePoint now) {
   std::erase_if(targets_, [this](const auto& item) {
     return item.second.outstanding == 0 && table_.find_backend(item.first) == nullptr;
   });
   std::erase_if(ended_,
                 [this](const auto& item) { return table_.find_backend(item.first) == nullptr; });
-  note_routed_targets(now);
+  update_routed_targets(now);
   for (const auto& [id, backend] : table_.backends()) {
     if (!backend.self_registered && !targets_.contains(id)) {
       Target target;
@@ -158,11 +158,11 @@
     return;
   }
   QueueKey queue{request.service, BackendId()};
-  const auto backend = pick(now, request, *service, queue);
+  const auto backend = choose_backend(now, request, *service, queue);
   if (backend.has_value()) {
     forward(now, request, *backend, *service);
   } else {
-    wait(now, request, queue, *service);
+    enqueue(now, request, queue, *service);
   }
 }
 
@@ -203,7 +203,7 @@
   }
   handles.insert(handles.end(), routed_waiting_.begin(), routed_waiting_.end());
   queues_.clear();
-  queued_.clear();
+  queue_sizes_.clear();
   wakeups_.clear();
   retries_.clear();
   std::sort(handles.begin(), handles.end());
@@ -217,21 +217,21 @@
   }
 }
 
-// ---------------------------------------------------------------- how attempts end
+// ---------------------------------------------------------------- results of attempts
 
 void RouterCore::on_attempt_done(TimePoint now, AttemptId id, const AttemptResult& result) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) {
-    return;  // cancelled, or told twice
+    return;  // cancelled, or reported twice
   }
   const Attempt attempt = found->second;
-  on_attempt_written(id);  // nothing more is written of it
+  on_attempt_written(id);  // nothing more of the attempt will be written
   attempts_.erase(found);
   if (requests_.at(attempt.handle).routed) {
     on_routed_attempt_done(now, id, attempt, result);
     return dispatch_waiting(now);
   }
-  release_target(attempt.backend);
+  release_slot(attempt.backend);
   Target& target = targets_[attempt.backend];
   Request& request = requests_.at(attempt.handle);
   request.attempt = 0;
@@ -244,7 +244,7 @@
       target.latency += (took - target.latency) / kLatencyDivisor;
       Duration& smoothed = service_latency_[service];
       smoothed += (took - smoothed) / kLatencyDivisor;
-      target.block = Duration(0);
+      target.block_time = Duration(0);
       target.is_warm = target.is_warm || now - target.first_seen >= options_.warm_up;
       ++counters_.answered;
       output_.answers.push_back(
@@ -259,7 +259,7 @@
         break;
       }
       if (result.refusal == Refusal::kWrongIncarnation) {
-        note_ended(now, attempt.backend, !result.answered_by.value.empty());
+        record_ended(now, attempt.backend, !result.answered_by.value.empty());
       } else if (result.refusal != Refusal::kShed || keyed) {
         block(now, attempt.backend);
       }
@@ -291,7 +291,7 @@
   }
 }
 
-void RouterCore::note_ended(TimePoint now, BackendId backend, bool is_named) {
+void RouterCore::record_ended(TimePoint now, BackendId backend, bool is_named) {
   if (has_ended(now, backend)) {
     return;
   }
@@ -308,9 +308,9 @@
 void RouterCore::report_ended(TimePoint now, routing::RouterHello& hello) const {
   for (const auto& [id, ended] : ended_) {
     const routing::BackendRoute* route = table_.find_backend(id);
-    const bool is_news = ended.is_named && now < ended.remembered_until && route != nullptr &&
-                         route->self_registered && !route->ended;
-    if (is_news && hello.ended.size() < options_.maximum_reported_ended) {
+    const bool is_unreported = ended.is_named && now < ended.remembered_until && route != nullptr &&
+                               route->self_registered && !route->ended;
+    if (is_unreported && hello.ended.size() < options_.maximum_reported_ended) {
       hello.ended.push_back(id);
     }
   }
@@ -319,8 +319,8 @@
 void RouterCore::report_stated_departures(routing::RouterHello& hello) const {
   stated_departures_.for_each([&](BackendId id) {
     const routing::BackendRoute* route = table_.find_backend(id);
-    const bool is_news = route != nullptr && route->takes_work();
-    if (is_news && hello.leaving.size() < options_.maximum_reported_ended) {
+    const bool is_unreported = route != nullptr && route->takes_work();
+    if (is_unreported && hello.leaving.size() < options_.maximum_reported_ended) {
       hello.leaving.push_back(id);
     }
   });
@@ -342,10 +342,10 @@
   const BackendId backend = attempts_.at(attempt).backend;
   const common::ServiceId service = request.service;
   if (request.routed) {
-    give_up_attempt(now, request);
+    abandon_attempt(now, request);
     return answer_unknown(request);
   }
-  forget_attempt(request);
+  cancel_attempt(request);
   block(now, backend);
   if (options_.claim_not_run) {
     answer_not_run(request, NotRunReason::kDeadline, Duration(0));
@@ -362,32 +362,32 @@
   }
   ++counters_.cancelled;
   if (found->second.attempt != 0) {
-    give_up_attempt(now, found->second);
+    abandon_attempt(now, found->second);
   }
   finish(handle);
 }
 
-void RouterCore::give_up_attempt(TimePoint now, Request& request) {
+void RouterCore::abandon_attempt(TimePoint now, Request& request) {
   if (request.routed) {
     const Attempt& attempt = attempts_.at(request.attempt);
     routed_service(request.service).targets.on_given_up(now, attempt.backend, attempt.sent);
   }
-  forget_attempt(request);
+  cancel_attempt(request);
 }
 
-void RouterCore::take_back_attempt(Request& request) {
+void RouterCore::withdraw_attempt(Request& request) {
   const Attempt& attempt = attempts_.at(request.attempt);
   routed_service(request.service).targets.on_ended(attempt.backend, attempt.sent);
-  forget_attempt(request);
+  cancel_attempt(request);
 }
 
-void RouterCore::forget_attempt(Request& request) {
+void RouterCore::cancel_attempt(Request& request) {
   const auto attempt = attempts_.find(request.attempt);
   output_.cancels.push_back(request.attempt);
   if (request.routed) {
     backoffs_.on_ended(attempt->second.backend, attempt->second.sent);
   } else {
-    release_target(attempt->second.backend);
+    release_slot(attempt->second.backend);
   }
   writes_.remove(attempt->first);
   send_window_.release(request.caller.handle);
@@ -407,12 +407,12 @@
 
 void RouterCore::answer_not_run(const Request& request, NotRunReason reason, Duration retry_after) {
   if (request.may_have_run && !options_.claim_not_run) {
-    answer_unknown(request);  // an earlier attempt left no proof
+    answer_unknown(request);  // an earlier attempt may have run
     return;
   }
   ++counters_.not_run;
   ++outcome_counts(request).not_run;
-  Answer answer = own_answer(request, Outcome::kNotRun);
+  Answer answer = make_answer(request, Outcome::kNotRun);
   answer.reason = reason;
   answer.can_never_run = reason == NotRunReason::kUnknownService;
   answer.retry_after = retry_after;
@@ -423,11 +423,11 @@
 void RouterCore::answer_unknown(const Request& request) {
   ++counters_.unknown;
   ++outcome_counts(request).unknown;
-  output_.answers.push_back(own_answer(request, Outcome::kUnknown));
+  output_.answers.push_back(make_answer(request, Outcome::kUnknown));
   finish(request.caller.handle);
 }
 
-Answer RouterCore::own_answer(const Request& request, Outcome outcome) const {
+Answer RouterCore::make_answer(const Request& request, Outcome outcome) const {
   Answer answer;
   answer.handle = request.caller.handle;
   answer.outcome = outcome;
@@ -441,7 +441,7 @@
 
 OutcomeCounts& RouterCore::outcome_counts(const Request& request) {
   const auto* found =
-      std::lower_bound(kTimeoutBuckets.begin(), kTimeoutBuckets.end(), request.time_brought);
+      std::lower_bound(kTimeoutBuckets.begin(), kTimeoutBuckets.end(), request.timeout);
   return counters_.outcomes_by_timeout[static_cast<std::size_t>(found - kTimeoutBuckets.begin())];
 }
 
--- a/src/router/core/router_core_answers.cpp
+++ b/src/router/core/router_core_answers.cpp
@@ -1,4 +1,4 @@
-/// What RouterCore learns of back ends from their answers, beside the answers themselves.
+/// RouterCore: crashes, limits, backoffs and departures that the results of attempts show.
 
 #include <optional>
 
@@ -8,7 +8,7 @@
 
 using routing::AttemptEnd;
 
-void RouterCore::note_crash(TimePoint now, const Attempt& attempt, const AttemptResult& result) {
+void RouterCore::record_crash(TimePoint now, const Attempt& attempt, const AttemptResult& result) {
   if (result.end == AttemptEnd::kAnswered && result.digest != 0) {
     suspects_.on_answered(now, result.digest);
   }
@@ -30,22 +30,23 @@
   }
   ++counters_.crashes_seen;
   if (suspects_.on_target_gone(now, backend)) {
-    hasten_hello(now);
+    expedite_hello(now);
   }
 }
 
-void RouterCore::note_limit(TimePoint now, BackendId target, const AttemptResult& result) {
+void RouterCore::record_limit(TimePoint now, BackendId target, const AttemptResult& result) {
   if (!limited_.on_answer(now, target, result.limit)) {
     return;
   }
-  hasten_hello(now);  // the leader moves keys and tells all routers
+  expedite_hello(now);  // the leader moves keys and informs all routers
   if (const routing::BackendRoute* backend = table_.find_backend(target); backend != nullptr) {
     output_.limit_changes.push_back(
         {backend->address, backend->incarnation, result.limit.per_second});
   }
 }
 
-void RouterCore::note_backoff(TimePoint now, const Attempt& attempt, const AttemptResult& result) {
+void RouterCore::record_backoff(TimePoint now, const Attempt& attempt,
+                                const AttemptResult& result) {
   if (!result.backoff.has_value()) {
     return;
   }
@@ -56,12 +57,12 @@
     return;
   }
   output_.backoffs.push_back({backend->address, backend->incarnation, *result.backoff});
-  hasten_hello(now);  // the leader may give its keys to others
-  recall_unbegun(now, attempt.backend);
+  expedite_hello(now);  // the leader may move the back end's keys
+  recall_unstarted(now, attempt.backend);
 }
 
-void RouterCore::note_stated_departure(TimePoint now, const Attempt& attempt,
-                                       const AttemptResult& result) {
+void RouterCore::record_stated_departure(TimePoint now, const Attempt& attempt,
+                                         const AttemptResult& result) {
   const routing::BackendRoute* backend = table_.find_backend(attempt.backend);
   if (!result.is_leaving || backend == nullptr ||
       !stated_departures_.on_stated(now, attempt.backend) || !backend->takes_work()) {
@@ -69,10 +70,10 @@
   }
   ++counters_.stated_departures;
   output_.stated_departures.push_back({backend->address, backend->incarnation});
-  hasten_hello(now);  // the leader gives its keys to others, and tells all routers
+  expedite_hello(now);  // the leader moves the back end's keys and informs all routers
   const auto* service = table_.routes().find_service(common::ServiceName(backend->pool.value));
   if (service != nullptr && !service->route.config.keyed) {
-    recall_unbegun(now, attempt.backend);
+    recall_unstarted(now, attempt.backend);
   }
 }
 
--- a/src/router/core/router_core_native.cpp
+++ b/src/router/core/router_core_native.cpp
@@ -1,4 +1,4 @@
-/// Requests for native services in RouterCore: their targets, queues and repeats.
+/// RouterCore: targets, queues and retries of requests for native services.
 
 #include <algorithm>
 
@@ -10,8 +10,8 @@
 
 using routing::NotRunReason;
 
-/// Share that a target starts with.
-constexpr double kColdShare = 0.1;
+/// Initial share of a target that was added after the first table.
+constexpr double kInitialShare = 0.1;
 
 }  // namespace
 
@@ -29,14 +29,15 @@
 
 void RouterCore::count_load(const Request& request) {
   if (request.keyed) {
-    ++loads_[{request.service, request.shard}];
+    ++shard_loads_[{request.service, request.shard}];
   }
 }
 
-std::optional<BackendId> RouterCore::pick(TimePoint now, const Request& request,
-                                          const routing::TableService& service, QueueKey& queue) {
+std::optional<BackendId> RouterCore::choose_backend(TimePoint now, const Request& request,
+                                                    const routing::TableService& service,
+                                                    QueueKey& queue) {
   if (!request.keyed) {
-    return pick_free(now, request, service);
+    return choose_unkeyed_backend(now, request, service);
   }
   const routing::ShardSlot& slot = service.shards[request.shard.value];
   if (slot.moving || table_.find_backend(slot.owner) == nullptr || has_ended(now, slot.owner)) {
@@ -45,36 +46,39 @@
   queue.second = slot.owner;
   const auto queued = queues_.find(queue);
   const bool overtakes = queued != queues_.end() && !queued->second.empty();
-  if (overtakes || !has_room(now, slot.owner, service)) {
+  if (overtakes || !has_free_slot(now, slot.owner, service)) {
     return std::nullopt;
   }
   return slot.owner;
 }
 
-std::optional<BackendId> RouterCore::pick_free(TimePoint now, const Request& request,
-                                               const routing::TableService& service) {
+std::optional<BackendId> RouterCore::choose_unkeyed_backend(TimePoint now, const Request& request,
+                                                            const routing::TableService& service) {
   std::vector<routing::Candidate> candidates;
   for (const routing::WeightedTarget& weighted : subset_of(service)) {
     const routing::BackendRoute* route = table_.find_backend(weighted.backend);
     if (route == nullptr || route->draining || request.refused_by.contains(weighted.backend) ||
-        has_ended(now, weighted.backend) || !has_room(now, weighted.backend, service)) {
+        has_ended(now, weighted.backend) || !has_free_slot(now, weighted.backend, service)) {
       continue;
     }
     const Target& target = targets_[weighted.backend];
     double warmth = 1.0;
     if (!target.is_warm) {
       warmth = std::chrono::duration<double>(now - target.first_seen) / options_.warm_up;
-      warmth = std::clamp(warmth, kColdShare, 1.0);
+      warmth = std::clamp(warmth, kInitialShare, 1.0);
     }
     candidates.push_back({weighted.backend, target.outstanding, weighted.weight * warmth});
   }
   if (candidates.empty()) {
     return std::nullopt;
   }
-  return candidates[routing::choose_target(candidates, options_.choice, turn_++, random_)].backend;
+  return candidates[routing::choose_target(candidates, options_.choice, round_robin_turn_++,
+                                           random_)]
+      .backend;
 }
 
-bool RouterCore::has_room(TimePoint now, BackendId backend, const routing::TableService& service) {
+bool RouterCore::has_free_slot(TimePoint now, BackendId backend,
+                               const routing::TableService& service) {
   const Target& target = targets_[backend];
   return now >= target.blocked_until && target.outstanding < service.route.config.parameters.slots;
 }
@@ -90,14 +94,14 @@
   output_.forwards.push_back(std::move(effect));
 }
 
-void RouterCore::wait(TimePoint now, Request& request, QueueKey queue,
-                      const routing::TableService& service) {
+void RouterCore::enqueue(TimePoint now, Request& request, QueueKey queue,
+                         const routing::TableService& service) {
   const config::ServiceTemplate& parameters = service.route.config.parameters;
   if (!request.keyed && service.route.targets.empty()) {
     answer_not_run(request, NotRunReason::kNoTarget, kRetryAfterUnavailable);
     return;
   }
-  std::uint32_t& queued = queued_[request.service];
+  std::uint32_t& queued = queue_sizes_[request.service];
   if (queued >= parameters.queue_limit) {
     answer_not_run(request, NotRunReason::kQueueFull, options_.maximum_backoff);
     return;
@@ -113,7 +117,7 @@
   request.is_queued = true;
   request.queue = queue;
   if (!request.keyed && !request.refused_by.empty()) {
-    request.refused_by.clear();  // all have refused: any of them may be asked again
+    request.refused_by.clear();  // all have refused: any of them may be tried again
     wakeups_.insert({now + options_.minimum_backoff, queue});
   }
   wake_when_unblocked(now, queue, service);
@@ -156,7 +160,7 @@
   }
   request.is_queued = false;
   std::erase(queues_[request.queue], request.caller.handle);
-  --queued_[request.service];
+  --queue_sizes_[request.service];
 }
 
 void RouterCore::drain_queue(TimePoint now, const QueueKey& key) {
@@ -169,8 +173,8 @@
     Request& request = requests_.at(found->second.front());
     std::optional<BackendId> backend;
     if (key.second.value == 0) {
-      backend = request.keyed ? std::nullopt : pick_free(now, request, *service);
-    } else if (has_room(now, key.second, *service)) {
+      backend = request.keyed ? std::nullopt : choose_unkeyed_backend(now, request, *service);
+    } else if (has_free_slot(now, key.second, *service)) {
       backend = key.second;
     }
     if (!backend.has_value()) {
@@ -182,15 +186,16 @@
   }
 }
 
-void RouterCore::release_target(BackendId backend) {
+void RouterCore::release_slot(BackendId backend) {
   Target& target = targets_[backend];
   target.outstanding -= target.outstanding > 0 ? 1 : 0;
 }
 
 void RouterCore::block(TimePoint now, BackendId backend) {
   Target& target = targets_[backend];
-  target.block = std::clamp(target.block * 2, options_.minimum_backoff, options_.maximum_backoff);
-  target.blocked_until = std::max(target.blocked_until, now + target.block);
+  target.block_time =
+      std::clamp(target.block_time * 2, options_.minimum_backoff, options_.maximum_backoff);
+  target.blocked_until = std::max(target.blocked_until, now + target.block_time);
 }
 
 void RouterCore::retry_later(TimePoint now, Request& request) {
@@ -200,7 +205,7 @@
   }
   ++counters_.retries;
   if (!request.keyed) {
-    dispatch(now, request);  // another target may be free at once
+    dispatch(now, request);  // another target may have a free slot
     return;
   }
   request.backoff =
--- a/src/router/core/router_core_routed.cpp
+++ b/src/router/core/router_core_routed.cpp
@@ -1,4 +1,4 @@
-/// Requests on routes in RouterCore: which service, which target, how often, and when not at all.
+/// RouterCore: choice of the service, sending, retries and refusals of requests on routes.
 
 #include <algorithm>
 #include <vector>
@@ -14,8 +14,8 @@
 using routing::Refusal;
 using routing::TableStatus;
 
-/// A request that waits for a target looks again this often.
-constexpr Duration kLookAgain = std::chrono::milliseconds(20);
+/// Interval at which a waiting request tries again to find a target.
+constexpr Duration kRecheckInterval = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -33,13 +33,13 @@
     output_.answers.push_back(std::move(answer));
   };
   if (!has_routes()) {
-    return refuse(NotRunReason::kNotServing, false, spread(options_.unavailable_retry_after));
+    return refuse(NotRunReason::kNotServing, false, add_jitter(options_.unavailable_retry_after));
   }
   const TableStatus status = freshness_.status(now);
   if (status == TableStatus::kTooOld) {
-    // A newer table may be acknowledged already: neither a route nor its absence is known.
+    // A newer table may be acknowledged already, so neither a route nor its absence is certain.
     ++counters_.stale_refusals;
-    hasten_hello(now);
+    expedite_hello(now);
     return refuse(NotRunReason::kTableTooOld, false, options_.short_retry_after);
   }
   const bool is_final = status == TableStatus::kCurrent;
@@ -53,7 +53,7 @@
     ++counters_.crash_refusals;
     return refuse(NotRunReason::kCrashesTargets, false, options_.crashing_retry_after);
   }
-  const routing::RoutedTableService* service = choose_part(*route);
+  const routing::RoutedTableService* service = choose_service(*route);
   if (service == nullptr) {
     return refuse(NotRunReason::kNoTarget, false, kRetryAfterUnavailable);
   }
@@ -72,10 +72,10 @@
   const std::uint32_t stated = caller.timeout_ms > 0 ? caller.timeout_ms : config::kMaxTimeoutMs;
   const std::uint32_t allowed = route->timeout_ms > 0 ? route->timeout_ms : stated;
   request.route = std::move(route_name);
-  request.time_brought = std::chrono::milliseconds(std::min(stated, allowed));
-  request.deadline = now + request.time_brought;
-  request.patience = patience(*route, *service);
-  request.patience_until = std::min(now + request.patience, request.deadline);
+  request.timeout = std::chrono::milliseconds(std::min(stated, allowed));
+  request.deadline = now + request.timeout;
+  request.max_wait = max_wait(*route, *service);
+  request.wait_until = std::min(now + request.max_wait, request.deadline);
   routed_service(request.service).retries.on_request(now);
   if (request.keyed) {
     ++key_loads_[{request.service, request.key}];
@@ -85,25 +85,26 @@
   dispatch_routed(now, stored);
 }
 
-const routing::RoutedTableService* RouterCore::choose_part(const config::Route& route) {
+const routing::RoutedTableService* RouterCore::choose_service(const config::Route& route) {
   if (route.parts.size() == 1) {
     return table_.routes().find_service(route.parts.front().service);
   }
-  // Smooth weighted round robin: each part gains its weight, the richest pays the whole.
+  // Smooth weighted round robin: each part gains its weight as credit; the part with the highest
+  // credit is chosen and pays the total weight.
   std::vector<double>& credits = part_credits_[route.name];
   credits.resize(route.parts.size(), 0.0);
   double total = 0;
-  std::size_t richest = 0;
+  std::size_t chosen = 0;
   for (std::size_t i = 0; i < route.parts.size(); ++i) {
     credits[i] += route.parts[i].weight;
     total += route.parts[i].weight;
-    richest = credits[i] > credits[richest] ? i : richest;
+    chosen = credits[i] > credits[chosen] ? i : chosen;
   }
   if (total <= 0) {
     return nullptr;
   }
-  credits[richest] -= total;
-  return table_.routes().find_service(route.parts[richest].service);
+  credits[chosen] -= total;
+  return table_.routes().find_service(route.parts[chosen].service);
 }
 
 void RouterCore::dispatch_routed(TimePoint now, Request& request) {
@@ -111,10 +112,10 @@
   if (send_window_.is_bounded(bytes) && !send_window_.admits(now, bytes)) {
     return wait_for_link(now, request);
   }
-  dispatch_in_turn(now, request);
+  dispatch_to_target(now, request);
 }
 
-void RouterCore::dispatch_in_turn(TimePoint now, Request& request) {
+void RouterCore::dispatch_to_target(TimePoint now, Request& request) {
   routed_waiting_.erase(request.caller.handle);
   const routing::RoutedTableService* service = table_.routes().find_service(request.service);
   if (service == nullptr) {
@@ -122,9 +123,9 @@
   }
   const Duration passing = send_window_.passing_time(request.caller.body_bytes);
   if (freshness_.status(now, passing) == TableStatus::kTooOld) {
-    // Its target may be leaving by now. A request that had a place waits for the next word.
-    hasten_hello(now);
-    return wait_routed(now, request, NotRunReason::kTableTooOld);
+    // The target may be leaving by now. An accepted request waits for the next table update.
+    expedite_hello(now);
+    return wait_for_target(now, request, NotRunReason::kTableTooOld);
   }
   const auto target = choose_target(now, request, *service);
   if (!target.has_value()) {
@@ -133,26 +134,27 @@
       return;
     }
     const bool ownerless =
-        request.keyed && hindrance(now, request, owner, *service) == Hindrance::kGone;
+        request.keyed && availability(now, request, owner, *service) == Availability::kGone;
     if (!ownerless && request.admission.has_value() && request.admission->is_crowded) {
       ++counters_.owner_queue_refusals;
       return answer_not_run(request, NotRunReason::kOverload, retry_after(NotRunReason::kOverload));
     }
-    if (!ownerless && is_held_by_limits(now, request, *service)) {
+    if (!ownerless && is_blocked_by_limits(now, request, *service)) {
       ++counters_.limit_refusals;
       return answer_not_run(request, NotRunReason::kTargetLimit,
                             retry_after(NotRunReason::kTargetLimit));
     }
-    return wait_routed(now, request, ownerless ? NotRunReason::kNoOwner : NotRunReason::kNoTarget);
+    return wait_for_target(now, request,
+                           ownerless ? NotRunReason::kNoOwner : NotRunReason::kNoTarget);
   }
   request.expected = routed_service(request.service).targets.expected_latency(now, *target);
-  if (*request.expected > usable_time(now, request, *service)) {
-    return wait_routed(now, request, NotRunReason::kOverload);
+  if (*request.expected > latency_limit(now, request, *service)) {
+    return wait_for_target(now, request, NotRunReason::kOverload);
   }
   send_routed(now, request, *target);
 }
 
-Duration RouterCore::patience(const config::Route& route,
+Duration RouterCore::max_wait(const config::Route& route,
                               const routing::RoutedTableService& service) const {
   std::optional<Duration> objective = service.shortest_objective;
   if (options_.latency_bound_fraction <= 0) {
@@ -164,30 +166,30 @@
              : options_.default_max_wait;
 }
 
-Duration RouterCore::usable_time(TimePoint now, const Request& request,
-                                 const routing::RoutedTableService& service) {
-  const auto part = [](Duration whole, double share) {
-    return std::chrono::duration_cast<Duration>(whole * share);
+Duration RouterCore::latency_limit(TimePoint now, const Request& request,
+                                   const routing::RoutedTableService& service) {
+  const auto scale = [](Duration whole, double factor) {
+    return std::chrono::duration_cast<Duration>(whole * factor);
   };
-  const Duration own = part(request.deadline - now, options_.usable_deadline_fraction);
+  const Duration own = scale(request.deadline - now, options_.usable_deadline_fraction);
   const bool is_bounded_by_leader = request.keyed && crowded_.has_current_list(now);
   if (options_.latency_bound_fraction <= 0 || is_bounded_by_leader ||
       !service.shortest_objective.has_value()) {
     return own;
   }
   const Duration least =
-      part(routed_service(request.service).targets.typical_time(), options_.minimum_bound_factor);
-  const Duration common = part(*service.shortest_objective, options_.latency_bound_fraction);
+      scale(routed_service(request.service).targets.typical_time(), options_.minimum_bound_factor);
+  const Duration common = scale(*service.shortest_objective, options_.latency_bound_fraction);
   return std::min(own, std::max(common, least));
 }
 
 void RouterCore::send_routed(TimePoint now, Request& request, BackendId backend) {
   RoutedService& service = routed_service(request.service);
-  if (request.repeat_owed && !service.retries.take(now, fleet_size_.largest())) {
+  if (request.next_send_is_repeat && !service.retries.take(now, fleet_size_.largest())) {
     return answer_not_run(request, NotRunReason::kBudgetSpent, options_.short_retry_after);
   }
-  counters_.retries += request.repeat_owed ? 1 : 0;
-  request.repeat_owed = false;
+  counters_.retries += request.next_send_is_repeat ? 1 : 0;
+  request.next_send_is_repeat = false;
   Forward effect = begin_attempt(now, request, backend);
   writes_.add(now, effect.attempt, backend, request.keyed, freshness_);
   if (send_window_.is_bounded(request.caller.body_bytes)) {
@@ -210,50 +212,52 @@
 bool RouterCore::refuse_for_backoff(TimePoint now, Request& request) {
   const routing::RoutedTableService* service = table_.routes().find_service(request.service);
   const auto end = service == nullptr ? std::nullopt : backoff_end(now, request, *service);
-  if (!end.has_value() || *end < request.patience_until) {
+  if (!end.has_value() || *end < request.wait_until) {
     return false;
   }
   ++counters_.backoff_refusals;
-  // The time is known; each caller adds one of its own, so that they do not come back together.
-  const Duration own = spread(options_.ownerless_retry_after) - options_.ownerless_retry_after;
-  answer_not_run(request, NotRunReason::kTargetBackoff, *end - now + own);
+  // The end of the backoff is known; jitter keeps retries from coinciding.
+  const Duration jitter =
+      add_jitter(options_.ownerless_retry_after) - options_.ownerless_retry_after;
+  answer_not_run(request, NotRunReason::kTargetBackoff, *end - now + jitter);
   return true;
 }
 
 Duration RouterCore::retry_after(NotRunReason reason) {
-  // Room at a limited target comes as its keys move on, too.
+  // Capacity at a limited target is also freed by moving keys, so callers wait as long as for a new
+  // owner.
   const bool waits_for_keys =
       reason == NotRunReason::kNoOwner || reason == NotRunReason::kTargetLimit;
-  return waits_for_keys ? spread(options_.ownerless_retry_after) : options_.short_retry_after;
+  return waits_for_keys ? add_jitter(options_.ownerless_retry_after) : options_.short_retry_after;
 }
 
-Duration RouterCore::spread(Duration least) {
+Duration RouterCore::add_jitter(Duration least) {
   return least + std::chrono::duration_cast<Duration>(least * common::uniform_real(random_));
 }
 
-void RouterCore::wait_routed(TimePoint now, Request& request, NotRunReason reason) {
-  if (now >= request.patience_until) {
+void RouterCore::wait_for_target(TimePoint now, Request& request, NotRunReason reason) {
+  if (now >= request.wait_until) {
     return answer_not_run(request, reason, retry_after(reason));
   }
   routed_waiting_.insert(request.caller.handle);
-  retries_.insert({std::min(request.patience_until, now + kLookAgain), request.caller.handle});
+  retries_.insert({std::min(request.wait_until, now + kRecheckInterval), request.caller.handle});
 }
 
 void RouterCore::on_routed_attempt_done(TimePoint now, AttemptId id, const Attempt& attempt,
                                         const AttemptResult& result) {
   Request& request = requests_.at(attempt.handle);
   request.attempt = 0;
-  note_limit(now, attempt.backend, result);
-  note_stated_departure(now, attempt, result);
-  note_backoff(now, attempt, result);
-  note_crash(now, attempt, result);
+  record_limit(now, attempt.backend, result);
+  record_stated_departure(now, attempt, result);
+  record_backoff(now, attempt, result);
+  record_crash(now, attempt, result);
   routing::TargetBook& book = routed_service(request.service).targets;
   if (result.end == AttemptEnd::kAnswered) {
     book.on_answered(now, attempt.backend, attempt.sent, result.load);
     backoffs_.on_answered(attempt.backend, attempt.sent);
-    const bool again =
+    const bool should_retry =
         result.is_failure && request.repeatable && request.attempts < request.maximum_attempts;
-    if (again && routed_service(request.service).retries.take(now, fleet_size_.largest())) {
+    if (should_retry && routed_service(request.service).retries.take(now, fleet_size_.largest())) {
       request.may_have_run = true;
       request.refused_by.insert(attempt.backend);
       ++counters_.retries;
@@ -278,16 +282,16 @@
         return answer_not_run(request, NotRunReason::kDeadline, Duration(0));
       }
       if (result.refusal == Refusal::kWrongIncarnation) {
-        note_ended(now, attempt.backend, !result.answered_by.value.empty());
+        record_ended(now, attempt.backend, !result.answered_by.value.empty());
       } else if (result.refusal == Refusal::kShed && !backoffs_.ends_at(now, attempt.backend)) {
         book.block(now, attempt.backend);
       }
-      request.repeat_owed = true;
+      request.next_send_is_repeat = true;
       return retry_routed(now, request);
     case AttemptEnd::kNotSent:
       book.block(now, attempt.backend);
       --request.attempts;
-      return retry_routed(now, request);  // it has not arrived: no repeat
+      return retry_routed(now, request);  // the request has not arrived: no repeat
     case AttemptEnd::kBroken:
     case AttemptEnd::kForeign:
     case AttemptEnd::kAnswered:
@@ -296,7 +300,7 @@
       if (!request.repeatable || suspects_.may_be_suspect(result.digest)) {
         return answer_unknown(request);
       }
-      request.repeat_owed = true;
+      request.next_send_is_repeat = true;
       return retry_routed(now, request);
   }
 }
@@ -311,9 +315,9 @@
   if (!request.keyed) {
     return dispatch_routed(now, request);
   }
-  // The owner has refused: what it takes is a newer table, or a moment.
-  request.not_before = now + kLookAgain;
-  wait_routed(now, request, NotRunReason::kNoOwner);
+  // The owner has refused: a newer table or a short wait is needed.
+  request.not_before = now + kRecheckInterval;
+  wait_for_target(now, request, NotRunReason::kNoOwner);
 }
 
 }  // namespace planktray::router
--- a/src/router/core/router_core_table.cpp
+++ b/src/router/core/router_core_table.cpp
@@ -1,4 +1,4 @@
-/// RouterCore and its controllers: the table that they bring, hellos, and the search for a leader.
+/// RouterCore: table updates from controllers, hellos to them, and the search for the leader.
 
 #include <algorithm>
 #include <cmath>
@@ -10,17 +10,17 @@
 namespace planktray::router {
 namespace {
 
-/// After so many hellos without an answer, every controller is asked.
-constexpr int kHellosWithoutAnswer = 2;
-/// Controllers that a router knows at most.
-constexpr std::size_t kMostControllers = 24;
+/// Number of unanswered hellos after which hellos go to every controller.
+constexpr int kUnansweredHellos = 2;
+/// Maximum number of controllers that a router keeps addresses of.
+constexpr std::size_t kMaxControllers = 24;
 
 }  // namespace
 
 void RouterCore::add_controller(const std::string& address) {
   const bool is_known =
       std::find(controllers_.begin(), controllers_.end(), address) != controllers_.end();
-  if (!is_known && controllers_.size() < kMostControllers) {
+  if (!is_known && controllers_.size() < kMaxControllers) {
     controllers_.push_back(address);
   }
 }
@@ -36,12 +36,12 @@
     freshness_.on_answered();
   }
   if (list.leader.empty() || list.term <= leader_term_) {
-    return;  // an old word, or the leader that is known: it may be slow
+    return;  // outdated, or names the known leader, which may be slow to answer
   }
   ++counters_.leader_announcements;
   leader_ = list.leader;
   leader_term_ = list.term;
-  leader_heard_ = now;
+  leader_last_seen_ = now;
   const Duration wait(static_cast<Duration::rep>(common::uniform(
       random_, 0, static_cast<std::uint64_t>(options_.leader_search.announcement_spread.count()))));
   next_hello_ = std::min(next_hello_, now + wait);
@@ -53,7 +53,7 @@
     return;
   }
   freshness_.on_answered();
-  const bool ring_changed = !update.by_follower && take_leaders_word(now, update, from);
+  const bool rank_or_count_changed = !update.by_follower && apply_leader_state(now, update, from);
   std::vector<Departure> departures = departures_in(now, update);
   const auto known_until = freshness_.as_of();
   const bool installed = table_.apply(update);
@@ -62,27 +62,28 @@
     confirmed_until_ = std::max(
         confirmed_until_, common::from_microseconds(update.echo_clock_us) + options_.table_lease);
   }
-  // A sender that does not tell more has at least read the hello that it echoes.
+  // A sender that states no later time has at least read the hello that it echoes.
   const std::int64_t as_of = std::max(update.as_of_clock_us, update.echo_clock_us);
   if (is_up_to_date && as_of > 0) {
     freshness_.on_confirmed(now, common::from_microseconds(as_of));
   }
   if (update.by_follower) {
     ++counters_.follower_updates;
-    helper_ = from;
+    last_follower_ = from;
   }
-  plan_inquiry(now);
+  stop_queries_if_fresh(now);
   const bool has_changes = installed && !update.deltas.empty();
-  if (has_changes || ring_changed) {
+  if (has_changes || rank_or_count_changed) {
     ++counters_.table_updates;
     subsets_.clear();
-    note_targets(now);
+    update_targets(now);
   }
   if (!update.by_follower) {
-    report_lacks(now, has_changes && update.deltas.front().is_snapshot, update.current_index);
+    report_missing_update(now, has_changes && update.deltas.front().is_snapshot,
+                          update.current_index);
   }
   if (has_changes) {
-    note_departures(departures, known_until);
+    update_write_guard(departures, known_until);
     output_.departures = std::move(departures);
     redispatch_all(now);
   }
@@ -91,7 +92,7 @@
 
 std::vector<Departure> RouterCore::departures_in(TimePoint now,
                                                  const routing::TableUpdate& update) const {
-  std::map<BackendId, bool> takes_work;  // the last word of the update
+  std::map<BackendId, bool> takes_work;  // after the last delta of the update
   for (const routing::TableDelta& delta : update.deltas) {
     if (delta.is_snapshot) {
       for (const auto& item : table_.backends()) {
@@ -116,27 +117,27 @@
   return departures;
 }
 
-void RouterCore::note_departures(const std::vector<Departure>& departures,
-                                 std::optional<TimePoint> known_until) {
+void RouterCore::update_write_guard(const std::vector<Departure>& departures,
+                                    std::optional<TimePoint> known_until) {
   for (const Departure& departure : departures) {
     writes_.on_leaving(departure.backend, known_until);
   }
   for (const auto& [id, backend] : table_.backends()) {
     if (backend.takes_work()) {
-      writes_.on_taking(id);
+      writes_.on_accepting_work(id);
     } else {
-      writes_.on_leaving(id, std::nullopt);  // nothing new where it was noted above or before
+      writes_.on_leaving(id, std::nullopt);  // no effect if it was already leaving
     }
   }
   writes_.keep_only([this](BackendId id) { return table_.find_backend(id) != nullptr; });
 }
 
-bool RouterCore::take_leaders_word(TimePoint now, const routing::TableUpdate& update,
-                                   const std::string& from) {
+bool RouterCore::apply_leader_state(TimePoint now, const routing::TableUpdate& update,
+                                    const std::string& from) {
   if (update.term >= leader_term_) {
     leader_ = from;
     leader_term_ = update.term;
-    leader_heard_ = now;
+    leader_last_seen_ = now;
   }
   hello_interval_ = std::max<Duration>(options_.hello_interval,
                                        std::chrono::milliseconds(update.hello_interval_ms));
@@ -157,51 +158,52 @@
   return changed;
 }
 
-void RouterCore::plan_inquiry(TimePoint now) {
-  // Not by whether the leader is heard: its words may be seconds old when they come.
+void RouterCore::stop_queries_if_fresh(TimePoint now) {
+  // Decided by the age of the table, as the leader's updates may be seconds old on arrival.
   if (!freshness_.is_aging(now)) {
-    next_inquiry_ = TimePoint::max();
+    next_query_ = TimePoint::max();
   }
 }
 
-void RouterCore::report_lacks(TimePoint now, bool is_snapshot, common::LogIndex current) {
+void RouterCore::report_missing_update(TimePoint now, bool is_snapshot, common::LogIndex current) {
   const bool lacked_update = std::exchange(lacks_update_, table_.index() < current);
   if (is_snapshot || (lacks_update_ && !lacked_update)) {
-    next_hello_ = now;  // the leader waits for it to arrive; or an update was lost
+    next_hello_ = now;  // the leader waits for an acknowledgement, or an update was lost
   } else if (lacks_update_) {
-    // It has been told, and takes a while: each update until then would say the same.
-    hasten_hello(now);
+    // The leader has the report but needs time to react; until then, each update shows the same
+    // gap, so hellos keep to their minimum interval.
+    expedite_hello(now);
   }
 }
 
-void RouterCore::hasten_hello(TimePoint now) {
+void RouterCore::expedite_hello(TimePoint now) {
   next_hello_ = std::min(next_hello_, std::max(now, last_hello_ + options_.hello_interval));
 }
 
 void RouterCore::make_hello(TimePoint now) {
   next_hello_ = now + hello_interval_;
   last_hello_ = now;
-  const bool leader_is_known =
-      leader_heard_.has_value() && now - *leader_heard_ < kHellosWithoutAnswer * hello_interval_;
-  // With a follower that keeps the table young, nobody else need be asked.
-  const bool has_helper = !helper_.empty() && !freshness_.is_aging(now);
-  output_.hello_to_all = !leader_is_known && !has_helper;
+  const bool leader_is_known = leader_last_seen_.has_value() &&
+                               now - *leader_last_seen_ < kUnansweredHellos * hello_interval_;
+  // A follower that keeps the table fresh makes queries to other controllers unnecessary.
+  const bool follower_is_current = !last_follower_.empty() && !freshness_.is_aging(now);
+  output_.hello_to_all = !leader_is_known && !follower_is_current;
   output_.hello_to = {leader_};
   freshness_.on_asked(now);
-  if (leader_is_known && next_inquiry_ == TimePoint::max()) {
-    next_inquiry_ = now + options_.leader_search.answer_timeout;
-    inquiry_interval_ = options_.leader_search.inquiry_interval;
+  if (leader_is_known && next_query_ == TimePoint::max()) {
+    next_query_ = now + options_.leader_search.answer_timeout;
+    query_interval_ = options_.leader_search.inquiry_interval;
   }
-  routing::RouterHello hello = plain_hello(now);
+  routing::RouterHello hello = make_basic_hello(now);
   report_ended(now, hello);
   report_stated_departures(hello);
   report_backoffs(now, hello);
   if (now >= next_load_) {
     next_load_ = now + options_.load_interval;
-    for (const auto& [ref, count] : loads_) {
+    for (const auto& [ref, count] : shard_loads_) {
       hello.loads.push_back({ref.service, ref.shard, count});
     }
-    loads_.clear();
+    shard_loads_.clear();
     report_key_loads(hello);
     if (hello.loads.size() > options_.maximum_reported_shards) {
       const auto end =
@@ -214,7 +216,7 @@
   output_.hello = std::move(hello);
 }
 
-routing::RouterHello RouterCore::plain_hello(TimePoint now) {
+routing::RouterHello RouterCore::make_basic_hello(TimePoint now) {
   routing::RouterHello hello;
   hello.cell = options_.cell;
   hello.router = options_.name;
@@ -228,16 +230,16 @@
   return hello;
 }
 
-void RouterCore::inquire(TimePoint now) {
-  next_inquiry_ = now + inquiry_interval_;
-  inquiry_interval_ =
-      std::min(2 * inquiry_interval_, options_.leader_search.longest_inquiry_interval);
+void RouterCore::query_controllers(TimePoint now) {
+  next_query_ = now + query_interval_;
+  query_interval_ = std::min(2 * query_interval_, options_.leader_search.longest_inquiry_interval);
   freshness_.on_asked(now);
   output_.hello_to_all = false;
-  if (!helper_.empty()) {
-    // It has answered the last question; silence to this one has all asked again.
-    output_.hello = plain_hello(now);
-    output_.hello_to = {std::exchange(helper_, "")};
+  if (!last_follower_.empty()) {
+    // The follower answered the last query; if it does not answer this one, all others are queried
+    // again.
+    output_.hello = make_basic_hello(now);
+    output_.hello_to = {std::exchange(last_follower_, "")};
     ++counters_.leader_queries;
     return;
   }
@@ -251,7 +253,7 @@
   const auto first = common::uniform(random_, 0, others.size() - 1);
   std::rotate(others.begin(), others.begin() + static_cast<std::ptrdiff_t>(first), others.end());
   others.resize(std::min(others.size(), options_.leader_search.inquired_controllers));
-  output_.hello = plain_hello(now);
+  output_.hello = make_basic_hello(now);
   output_.hello_to = std::move(others);
 }
 
@@ -264,7 +266,8 @@
   if (hello.key_loads.size() <= options_.maximum_reported_keys) {
     return;
   }
-  // Every n-th of the lightest would be lost; a random part with its weight raised keeps the sum.
+  // Dropping the lightest keys would lose their load; a random sample with scaled counts keeps the
+  // sum.
   const double kept_share = static_cast<double>(options_.maximum_reported_keys) /
                             static_cast<double>(hello.key_loads.size());
   std::erase_if(hello.key_loads,
@@ -288,7 +291,7 @@
   for (auto& [id, service] : routed_) {
     const auto* route = table_.routes().find_service(id);
     if (route == nullptr || !route->route.config.keyed) {
-      continue;  // only owners of keys are chosen by the leader
+      continue;  // the leader chooses targets of keyed services only
     }
     service.targets.take_samples([&](BackendId backend, const routing::WorkSamples& samples) {
       const double mean_us = samples.count > 0 ? samples.sum_us / samples.count : 0;
--- a/src/router/core/router_core_targets.cpp
+++ b/src/router/core/router_core_targets.cpp
@@ -1,4 +1,4 @@
-/// Which back ends may get a request on a route now, in RouterCore, and which one does.
+/// RouterCore: availability of back ends for requests on routes, and the choice among them.
 
 #include <algorithm>
 #include <vector>
@@ -7,21 +7,22 @@
 
 namespace planktray::router {
 
-RouterCore::Hindrance RouterCore::hindrance(TimePoint now, const Request& request, BackendId id,
-                                            const routing::RoutedTableService& service) {
+RouterCore::Availability RouterCore::availability(TimePoint now, const Request& request,
+                                                  BackendId id,
+                                                  const routing::RoutedTableService& service) {
   const routing::BackendRoute* backend = table_.find_backend(id);
   if (backend == nullptr || has_ended(now, id) || is_closed(now, request, *backend)) {
-    return Hindrance::kGone;
+    return Availability::kGone;
   }
   if (backoffs_.ends_at(now, id).has_value()) {
-    return Hindrance::kBackoff;
+    return Availability::kBackoff;
   }
   if (routed_service(request.service).targets.is_blocked(now, id)) {
-    return Hindrance::kBlocked;
+    return Availability::kBlocked;
   }
-  const bool has_room = !backoffs_.is_on_trial(id) && has_connection(request, id, service) &&
-                        bears(now, *backend, service);
-  return has_room ? Hindrance::kNone : Hindrance::kBusy;
+  const bool has_capacity = !backoffs_.is_on_trial(id) && has_connection(request, id, service) &&
+                            allows_cold(now, *backend, service);
+  return has_capacity ? Availability::kAvailable : Availability::kBusy;
 }
 
 bool RouterCore::is_closed(TimePoint now, const Request& request,
@@ -37,16 +38,17 @@
   };
   const bool would_be_late = is_late_for(writes_.closes_at(backend.id)) ||
                              is_late_for(stated_departures_.closes_at(backend.id));
-  const bool has_handed_over = is_evacuated && now >= evacuated->second + options_.evacuation_grace;
-  return would_be_late || has_handed_over;
+  const bool handover_has_ended =
+      is_evacuated && now >= evacuated->second + options_.evacuation_grace;
+  return would_be_late || handover_has_ended;
 }
 
 Duration RouterCore::arrival_time(const Request& request) const {
   return options_.arrival_time + send_window_.passing_time(request.caller.body_bytes);
 }
 
-bool RouterCore::bears(TimePoint now, const routing::BackendRoute& backend,
-                       const routing::RoutedTableService& service) {
+bool RouterCore::allows_cold(TimePoint now, const routing::BackendRoute& backend,
+                             const routing::RoutedTableService& service) {
   return !backend.cold || cold_limit_.allows(now, backend.id, service.route.config.cold_rate,
                                              fleet_size_.largest(), random_);
 }
@@ -77,9 +79,9 @@
   return *admitted;
 }
 
-bool RouterCore::is_held_by_limits(TimePoint now, const Request& request,
-                                   const routing::RoutedTableService& service) const {
-  const auto holds = [&](BackendId id) {
+bool RouterCore::is_blocked_by_limits(TimePoint now, const Request& request,
+                                      const routing::RoutedTableService& service) const {
+  const auto is_limited_or_unavailable = [&](BackendId id) {
     const routing::BackendRoute* backend = table_.find_backend(id);
     const bool takes_work =
         backend != nullptr && !has_ended(now, id) && !is_closed(now, request, *backend);
@@ -89,7 +91,7 @@
     const BackendId owner = table_.routes().owner_of(request.service, request.key);
     return limited_.is_limited(owner) && !request.refused_by.contains(owner);
   }
-  return std::all_of(service.targets.begin(), service.targets.end(), holds) &&
+  return std::all_of(service.targets.begin(), service.targets.end(), is_limited_or_unavailable) &&
          std::any_of(service.targets.begin(), service.targets.end(),
                      [this](BackendId id) { return limited_.is_limited(id); });
 }
@@ -104,11 +106,11 @@
       request.keyed ? std::vector<BackendId>{table_.routes().owner_of(request.service, request.key)}
                     : service.targets;
   for (const BackendId id : candidates) {
-    const Hindrance found = hindrance(now, request, id, service);
-    if (found == Hindrance::kGone) {
+    const Availability found = availability(now, request, id, service);
+    if (found == Availability::kGone) {
       continue;
     }
-    if (found != Hindrance::kBackoff) {
+    if (found != Availability::kBackoff) {
       return std::nullopt;
     }
     const TimePoint ends = *backoffs_.ends_at(now, id);
@@ -121,7 +123,7 @@
                                                    const routing::RoutedTableService& service) {
   const routing::TargetBook& book = routed_service(request.service).targets;
   const auto is_usable = [&](BackendId id) {
-    return hindrance(now, request, id, service) == Hindrance::kNone;
+    return availability(now, request, id, service) == Availability::kAvailable;
   };
   if (request.keyed) {
     const BackendId owner = table_.routes().owner_of(request.service, request.key);
@@ -139,9 +141,9 @@
           !limited_.has_share(now, id, fleet_size_.largest(), random_)) {
         continue;
       }
-      constexpr double kNoise = 0.2;
+      constexpr double kCostNoise = 0.2;
       double cost = static_cast<double>(book.expected_latency(now, id).count());
-      cost *= 1.0 + kNoise * common::uniform_real(random_);
+      cost *= 1.0 + kCostNoise * common::uniform_real(random_);
       cost *= route->zone == options_.zone ? 1.0 : 1.0 + options_.other_zone_cost;
       if (!best.has_value() || cost < best_cost) {
         best = id;
@@ -154,7 +156,7 @@
   return best.has_value() ? best : cheapest_of(service.targets);
 }
 
-void RouterCore::note_routed_targets(TimePoint now) {
+void RouterCore::update_routed_targets(TimePoint now) {
   std::erase_if(routed_, [this](const auto& item) {
     return table_.routes().find_service(item.first) == nullptr;
   });
@@ -165,7 +167,7 @@
     }
     routed_service(service->route.id).targets.add(id, backend.slots, backend.cold);
   }
-  note_evacuations(now);
+  update_evacuations(now);
   cold_limit_.keep_only([this](BackendId id) {
     const routing::BackendRoute* backend = table_.find_backend(id);
     return backend != nullptr && backend->cold;
@@ -177,11 +179,11 @@
   for (auto& [id, service] : routed_) {
     service.targets.drop_unless(
         [this](BackendId backend) { return table_.find_backend(backend) != nullptr; });
-    draw_zone_subset(*table_.routes().find_service(id));
+    update_zone_subset(*table_.routes().find_service(id));
   }
 }
 
-void RouterCore::note_evacuations(TimePoint now) {
+void RouterCore::update_evacuations(TimePoint now) {
   const auto& zones = table_.evacuated_zones();
   std::erase_if(evacuations_, [&](const auto& item) { return !zones.contains(item.first); });
   for (const common::ZoneName& zone : zones) {
@@ -189,7 +191,7 @@
   }
 }
 
-void RouterCore::draw_zone_subset(const routing::RoutedTableService& service) {
+void RouterCore::update_zone_subset(const routing::RoutedTableService& service) {
   if (service.route.config.keyed) {
     return;
   }
--- a/src/router/core/router_core_writing.cpp
+++ b/src/router/core/router_core_writing.cpp
@@ -1,5 +1,5 @@
-/// Requests on routes in RouterCore between the choice of a back end and their last byte: turns at
-/// the link, and what is taken back, held or cut off.
+/// RouterCore: the link queue for large requests on routes, and attempts that are recalled, held or
+/// aborted before their last byte.
 
 #include <algorithm>
 
@@ -20,13 +20,13 @@
   send_window_.wait(request.caller.handle, bytes);
 }
 
-void RouterCore::serve_link(TimePoint now) {
+void RouterCore::dispatch_link_queue(TimePoint now) {
   while (const auto handle = send_window_.next(now)) {
     Request& request = requests_.at(*handle);
-    // What it waited for was the link, not a target.
-    request.patience_until =
-        std::max(request.patience_until, std::min(now + request.patience, request.deadline));
-    dispatch_in_turn(now, request);
+    // Time spent waiting for the link does not count as waiting for a target.
+    request.wait_until =
+        std::max(request.wait_until, std::min(now + request.max_wait, request.deadline));
+    dispatch_to_target(now, request);
   }
 }
 
@@ -38,10 +38,10 @@
   }
 }
 
-void RouterCore::recall_unbegun(TimePoint now, BackendId backend) {
-  for (const AttemptId unbegun : writes_.unbegun_at(backend)) {
-    output_.write_decisions.push_back({unbegun, WriteVerdict::kRecall});
-    recall(now, unbegun);
+void RouterCore::recall_unstarted(TimePoint now, BackendId backend) {
+  for (const AttemptId unstarted : writes_.unstarted_at(backend)) {
+    output_.write_decisions.push_back({unstarted, WriteVerdict::kRecall});
+    recall(now, unstarted);
   }
 }
 
@@ -53,7 +53,7 @@
         recall(now, decision.attempt);
         break;
       case WriteVerdict::kAbort:
-        cut(now, decision.attempt);
+        abort_write(now, decision.attempt);
         break;
       case WriteVerdict::kHold:
         ++counters_.held_writes;
@@ -67,22 +67,22 @@
 void RouterCore::recall(TimePoint now, AttemptId id) {
   ++counters_.recalled;
   Request& request = requests_.at(attempts_.at(id).handle);
-  take_back_attempt(request);
-  --request.attempts;  // it has not arrived
+  withdraw_attempt(request);
+  --request.attempts;  // the request has not arrived
   dispatch_routed(now, request);
 }
 
-void RouterCore::cut(TimePoint now, AttemptId id) {
+void RouterCore::abort_write(TimePoint now, AttemptId id) {
   ++counters_.aborted_writes;
   const Attempt attempt = attempts_.at(id);
   Request& request = requests_.at(attempt.handle);
-  take_back_attempt(request);
+  withdraw_attempt(request);
   request.may_have_run = true;
   if (!request.repeatable) {
     return answer_unknown(request);
   }
   request.refused_by.insert(attempt.backend);
-  request.repeat_owed = true;
+  request.next_send_is_repeat = true;
   retry_routed(now, request);
 }
 
