--- a/test/platform/requested_backoff_test.cpp
+++ b/test/platform/requested_backoff_test.cpp
@@ -48,8 +48,8 @@
     std::size_t too_many = 0;
     std::size_t seen = 0;
     for (std::int64_t time = 10; time < 2 * kAsked; time += 10) {
-      fixture.tell(time);
-      fixture.ask(time);
+      fixture.update_table(time);
+      fixture.send_request(time);
       fixture.run_until(time);
       for (; seen < fixture.forwards.size(); ++seen) {
         const Forward& forward = fixture.forwards[seen];
@@ -63,12 +63,12 @@
           under_way[forward.attempt] = time + 400;
         } else {
           asked_at.try_emplace(forward.address, time);
-          fixture.end(time, forward.attempt, turned_away("3"));
+          fixture.end_attempt(time, forward.attempt, turned_away("3"));
         }
       }
       for (auto next = under_way.begin(); next != under_way.end();) {
         if (time >= next->second) {
-          fixture.end(time, next->first, answered());
+          fixture.end_attempt(time, next->first, answered());
           next = under_way.erase(next);
         } else {
           ++next;
@@ -127,13 +127,13 @@
 // Guards against callers who are told a time that is not true, or all the same one.
 TEST_CASE("callers of an owner that wants to be left alone are refused at once, with true times") {
   RouteFixture fixture(true);
-  fixture.ask(10);
-  fixture.end(12, fixture.forwards.at(0).attempt, turned_away("3"));
+  fixture.send_request(10);
+  fixture.end_attempt(12, fixture.forwards.at(0).attempt, turned_away("3"));
   REQUIRE(fixture.answers.size() == 1);
   std::set<common::Duration> told;
   constexpr std::size_t kCallers = 20;
   for (std::size_t i = 0; i < kCallers; ++i) {
-    const auto answer = fixture.answer_to(fixture.ask(112));
+    const auto answer = fixture.answer_to(fixture.send_request(112));
     REQUIRE(answer.has_value());
     CHECK(answer->outcome == routing::Outcome::kNotRun);
     CHECK(answer->reason == routing::NotRunReason::kTargetBackoff);
@@ -144,22 +144,22 @@
   CHECK(told.size() == kCallers);
   // Owners of other keys are not concerned.
   const std::uint32_t other_key = RouteFixture::first_key(2);
-  CHECK_FALSE(fixture.answer_to(fixture.ask(112, 0, other_key)).has_value());
+  CHECK_FALSE(fixture.answer_to(fixture.send_request(112, 0, other_key)).has_value());
   CHECK(fixture.forwards.size() == 2);
 }
 
 TEST_CASE("where all back ends of a service want to be left alone, the first end is told") {
   RouteFixture fixture;
-  fixture.ask(10);
+  fixture.send_request(10);
   for (std::size_t i = 0; i < fixture.forwards.size(); ++i) {
     const char* time = fixture.forwards[i].address == RouteFixture::backend(2).address ? "2" : "9";
-    fixture.end(12, fixture.forwards[i].attempt, turned_away(time));
+    fixture.end_attempt(12, fixture.forwards[i].attempt, turned_away(time));
     if (i + 1 == fixture.forwards.size() && i + 1 < RouteFixture::kBackends) {
-      fixture.ask(12);
+      fixture.send_request(12);
     }
   }
   fixture.answers.clear();
-  const auto answer = fixture.answer_to(fixture.ask(112));
+  const auto answer = fixture.answer_to(fixture.send_request(112));
   REQUIRE(answer.has_value());
   CHECK(answer->reason == routing::NotRunReason::kTargetBackoff);
   CHECK(answer->retry_after >= std::chrono::milliseconds(1900));
@@ -168,8 +168,8 @@
 
 TEST_CASE("a short time to stay away is waited for") {
   RouteFixture fixture(true);
-  fixture.ask(10);
-  fixture.end(11, fixture.forwards.at(0).attempt, turned_away("0.05"));
+  fixture.send_request(10);
+  fixture.end_attempt(11, fixture.forwards.at(0).attempt, turned_away("0.05"));
   fixture.run_until(200);
   CHECK(fixture.forwards.size() == 2);
 }
@@ -181,12 +181,12 @@
   while (fixture.forwards.empty() ||
          fixture.forwards.back().address != fixture.forwards.front().address ||
          fixture.forwards.size() == 1) {
-    fixture.ask(10);
+    fixture.send_request(10);
     REQUIRE(fixture.forwards.size() < 100);
   }
   const Forward last = fixture.forwards.back();
   fixture.core.on_attempt_started(fixture.forwards.front().attempt);
-  fixture.end(12, fixture.forwards.front().attempt, turned_away("3"));
+  fixture.end_attempt(12, fixture.forwards.front().attempt, turned_away("3"));
   CHECK(std::count(fixture.cancels.begin(), fixture.cancels.end(), last.attempt) == 1);
   CHECK_FALSE(fixture.answer_to(last.handle).has_value());  // others take it
 }
--- a/test/platform/stated_departure_test.cpp
+++ b/test/platform/stated_departure_test.cpp
@@ -36,16 +36,16 @@
   std::size_t seen = 0;
   for (std::int64_t time = 10; time < 3 * kPromised; time += 10) {
     if (in_touch) {
-      fixture.tell(time);
+      fixture.update_table(time);
     }
-    fixture.ask(time);
+    fixture.send_request(time);
     fixture.run_until(time);
     for (; seen < fixture.forwards.size(); ++seen) {
       const Forward& forward = fixture.forwards[seen];
       fixture.core.on_attempt_written(forward.attempt);
       leaving = leaving.empty() ? forward.address : leaving;
       late += forward.address == leaving && time > 10 + kPromised ? 1 : 0;
-      fixture.end(time, forward.attempt,
+      fixture.end_attempt(time, forward.attempt,
                   seen == 0 ? word : judged(kStatusOk, {{kSealHeader, "s"}}));
     }
   }
@@ -94,14 +94,14 @@
 TEST_CASE("the leader is told of a leaving that the table does not have, until it does") {
   RouteFixture fixture(true);
   fixture.run_until(5);
-  fixture.ask(10);
-  fixture.end(20, fixture.forwards.at(0).attempt,
+  fixture.send_request(10);
+  fixture.end_attempt(20, fixture.forwards.at(0).attempt,
               judged(kStatusOk, {{kSealHeader, "s"}, {kLeavingHeader, "1"}}));
   fixture.hellos.clear();
   fixture.run_until(250);
   REQUIRE_FALSE(fixture.hellos.empty());
   CHECK(fixture.hellos.back().leaving == std::vector{common::BackendId(1)});
-  fixture.tell_leaving(260, 1);
+  fixture.mark_leaving(260, 1);
   fixture.hellos.clear();
   fixture.run_until(1000);
   REQUIRE_FALSE(fixture.hellos.empty());
@@ -110,14 +110,14 @@
 
 TEST_CASE("an owner that says that it leaves serves its keys until the promised time is near") {
   RouteFixture fixture(true);
-  fixture.ask(10);
-  fixture.end(20, fixture.forwards.at(0).attempt,
+  fixture.send_request(10);
+  fixture.end_attempt(20, fixture.forwards.at(0).attempt,
               judged(kStatusOk, {{kSealHeader, "s"}, {kLeavingHeader, "1"}}));
-  fixture.tell(1000);
-  fixture.ask(1000);
+  fixture.update_table(1000);
+  fixture.send_request(1000);
   CHECK(fixture.forwards.size() == 2);
-  fixture.tell(1900);
-  const auto refused = fixture.ask(1900);
+  fixture.update_table(1900);
+  const auto refused = fixture.send_request(1900);
   fixture.run_until(2300);
   CHECK(fixture.forwards.size() == 2);
   REQUIRE(fixture.answer_to(refused).has_value());
--- a/test/router/route_fixture.hpp
+++ b/test/router/route_fixture.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// A router with one service on a route, and a leader's word as the test wants it.
+/// Fixture: a router core with one service on a route, and table updates from a test's leader.
 
 #include <algorithm>
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-/// Milliseconds of the test's clock.
+/// Returns a time of the test's clock, in milliseconds.
 inline TimePoint at(std::int64_t value) {
   return common::from_microseconds((1'000'000 + value) * 1000);
 }
@@ -31,7 +31,8 @@
     return options;
   }
 
-  /// Back ends 1 to kBackends; with keys, each owns an equal part of them.
+  /// Starts with back ends 1 to kBackends; if the service is keyed, each owns an equal range of
+  /// keys.
   explicit RouteFixture(bool keyed = false, const RouterOptions& options = deployed_options(),
                         bool repeatable = false)
       : core(options, common::RandomEngine(1), at(0)), keyed_(keyed) {
@@ -57,7 +58,7 @@
           {common::ServiceId(1), first_key(i), first_key(i + 1) - 1, BackendId(i)});
     }
     core.tick(at(0));
-    tell(0, first);
+    update_table(0, first);
   }
 
   static routing::BackendRoute backend(std::uint64_t id) {
@@ -75,8 +76,8 @@
     return (backend - 1) * config::kKeyCount / kBackends;
   }
 
-  /// An update that shows the table as it is now, with a change where one is given.
-  void tell(std::int64_t now, routing::TableDelta change = {}) {
+  /// Sends the router an update that confirms the table as of `now`, with a change if one is given.
+  void update_table(std::int64_t now, routing::TableDelta change = {}) {
     routing::TableUpdate update;
     update.term = common::Term(1);
     update.echo_clock_us = common::to_microseconds(at(now));
@@ -91,16 +92,16 @@
     core.on_table_update(at(now), update, "leader");
     collect();
   }
-  void tell_leaving(std::int64_t now, std::uint64_t id) {
+  void mark_leaving(std::int64_t now, std::uint64_t id) {
     routing::TableDelta change;
     change.backends = {backend(id)};
     change.backends.front().draining = true;
-    tell(now, change);
+    update_table(now, change);
   }
 
-  RequestHandle ask(std::int64_t now, std::size_t body_bytes = 0,
-                    std::optional<std::uint32_t> key = std::nullopt,
-                    std::uint32_t timeout_ms = 5000) {
+  RequestHandle send_request(std::int64_t now, std::size_t body_bytes = 0,
+                             std::optional<std::uint32_t> key = std::nullopt,
+                             std::uint32_t timeout_ms = 5000) {
     CallerRequest caller;
     caller.handle = ++last_handle_;
     caller.method = "POST";
@@ -111,7 +112,7 @@
     collect();
     return caller.handle;
   }
-  /// Ticks as often as the core wants to, until `now`.
+  /// Ticks the core whenever it is due, until `now`.
   void run_until(std::int64_t now) {
     for (TimePoint due = core.next_due(); due <= at(now); due = core.next_due()) {
       now_ = std::max(now_, due);
@@ -120,7 +121,7 @@
     }
     now_ = at(now);
   }
-  void end(std::int64_t now, AttemptId attempt, const AttemptResult& result) {
+  void end_attempt(std::int64_t now, AttemptId attempt, const AttemptResult& result) {
     core.on_attempt_done(at(now), attempt, result);
     collect();
   }
@@ -134,10 +135,11 @@
       }
     }
   }
-  /// The answer to the request; nothing while there is none.
+  /// Returns the answer to the request; nothing while there is none.
   std::optional<Answer> answer_to(RequestHandle handle) const {
-    const auto found = std::find_if(answers.begin(), answers.end(),
-                                    [handle](const Answer& it) { return it.handle == handle; });
+    const auto found = std::find_if(answers.begin(), answers.end(), [handle](const Answer& answer) {
+      return answer.handle == handle;
+    });
     return found == answers.end() ? std::nullopt : std::optional(*found);
   }
 
