--- a/test/router/router_core_test.cpp
+++ b/test/router/router_core_test.cpp
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 
 const common::ServiceKey kKeyed{common::TenantName("t"), common::ServiceName("keyed")};
-const common::ServiceKey kFree{common::TenantName("t"), common::ServiceName("free")};
+const common::ServiceKey kUnkeyed{common::TenantName("t"), common::ServiceName("unkeyed")};
 constexpr std::int64_t kStart = 1'000'000;
 
 TimePoint at(std::int64_t value) { return common::from_microseconds((kStart + value) * 1000); }
@@ -35,7 +35,7 @@
   return route;
 }
 
-/// A router with two back ends, one keyed and one free service, and a confirmed table.
+/// A router with two back ends, one keyed and one unkeyed service, and a confirmed table.
 struct Fixture {
   RouterCore core{options(), common::RandomEngine(1), at(0)};
   RequestHandle next_handle = 1;
@@ -56,7 +56,7 @@
       delta.backends.push_back({common::BackendId(id), common::MachineName(std::to_string(id)),
                                 "address", common::ZoneName("z"), common::Incarnation("i"), false});
     }
-    delta.services = {service(1, kKeyed, true), service(2, kFree, false)};
+    delta.services = {service(1, kKeyed, true), service(2, kUnkeyed, false)};
     delta.shards = {{common::ServiceId(1), common::ShardNumber(0), common::BackendId(1),
                      common::Epoch(5), false}};
     return delta;
@@ -72,12 +72,13 @@
     core.take_output();
   }
 
-  RouterOutput ask(TimePoint now, const common::ServiceKey& key, const std::string& method) {
+  RouterOutput send_request(TimePoint now, const common::ServiceKey& key,
+                            const std::string& method) {
     core.on_request(now, {next_handle++, key, "k", method, 0});
     return core.take_output();
   }
 
-  RouterOutput end(TimePoint now, AttemptId attempt, const AttemptResult& result) {
+  RouterOutput end_attempt(TimePoint now, AttemptId attempt, const AttemptResult& result) {
     core.on_attempt_done(now, attempt, result);
     return core.take_output();
   }
@@ -90,35 +91,37 @@
 
 TEST_CASE("a keyed request goes to the owner under its epoch") {
   Fixture fixture;
-  const RouterOutput output = fixture.ask(at(1), kKeyed, "POST");
+  const RouterOutput output = fixture.send_request(at(1), kKeyed, "POST");
   REQUIRE(output.forwards.size() == 1);
   CHECK(output.forwards[0].machine.value == "1");
   CHECK(output.forwards[0].epoch == common::Epoch(5));
   CHECK_FALSE(output.forwards[0].repeatable);
 }
 
-TEST_CASE("what may have run and may not be repeated is told unknown, at once") {
+TEST_CASE("a request that may have run and is not repeatable is answered unknown at once") {
   Fixture fixture;
-  const auto attempt = fixture.ask(at(1), kFree, "POST").forwards.at(0).attempt;
-  const RouterOutput output = fixture.end(at(2), attempt, {routing::AttemptEnd::kBroken, {}});
+  const auto attempt = fixture.send_request(at(1), kUnkeyed, "POST").forwards.at(0).attempt;
+  const RouterOutput output =
+      fixture.end_attempt(at(2), attempt, {routing::AttemptEnd::kBroken, {}});
   CHECK(output.forwards.empty());
   REQUIRE(output.answers.size() == 1);
   CHECK(output.answers[0].outcome == routing::Outcome::kUnknown);
 }
 
-TEST_CASE("an answer to another request is no answer") {
+TEST_CASE("an answer to another request leaves the outcome unknown") {
   Fixture fixture;
-  const auto attempt = fixture.ask(at(1), kFree, "POST").forwards.at(0).attempt;
-  const RouterOutput output = fixture.end(at(2), attempt, {routing::AttemptEnd::kForeign, {}});
+  const auto attempt = fixture.send_request(at(1), kUnkeyed, "POST").forwards.at(0).attempt;
+  const RouterOutput output =
+      fixture.end_attempt(at(2), attempt, {routing::AttemptEnd::kForeign, {}});
   REQUIRE(output.answers.size() == 1);
   CHECK(output.answers[0].outcome == routing::Outcome::kUnknown);
 }
 
-TEST_CASE("proof of not run leads to another try elsewhere") {
+TEST_CASE("a request that provably did not run is retried at another back end") {
   Fixture fixture;
-  const Forward first = fixture.ask(at(1), kFree, "POST").forwards.at(0);
-  RouterOutput output = fixture.end(at(2), first.attempt,
-                                    {routing::AttemptEnd::kRefused, routing::Refusal::kDraining});
+  const Forward first = fixture.send_request(at(1), kUnkeyed, "POST").forwards.at(0);
+  RouterOutput output = fixture.end_attempt(
+      at(2), first.attempt, {routing::AttemptEnd::kRefused, routing::Refusal::kDraining});
   for (int i = 3; output.forwards.empty() && i < 300; ++i) {
     REQUIRE(output.answers.empty());
     output = fixture.tick(at(i));
@@ -127,10 +130,10 @@
   CHECK(output.forwards[0].machine != first.machine);
 }
 
-TEST_CASE("a repeatable request that broke is tried again and never called not run") {
+TEST_CASE("a repeatable request whose attempt broke is retried and never reported as not run") {
   Fixture fixture;
-  const auto attempt = fixture.ask(at(1), kFree, "GET").forwards.at(0).attempt;
-  RouterOutput output = fixture.end(at(2), attempt, {routing::AttemptEnd::kBroken, {}});
+  const auto attempt = fixture.send_request(at(1), kUnkeyed, "GET").forwards.at(0).attempt;
+  RouterOutput output = fixture.end_attempt(at(2), attempt, {routing::AttemptEnd::kBroken, {}});
   std::vector<Answer> answers = output.answers;
   for (int i = 3; i < 1200 && answers.empty(); ++i) {
     output = fixture.tick(at(i));
@@ -144,7 +147,7 @@
   CHECK(answers[0].outcome == routing::Outcome::kUnknown);
 }
 
-TEST_CASE("a moving shard holds its requests until the next owner is known") {
+TEST_CASE("requests for a moving shard wait until the next owner is known") {
   Fixture fixture;
   routing::TableDelta moving;
   moving.from = common::LogIndex(10);
@@ -152,7 +155,7 @@
   moving.shards = {
       {common::ServiceId(1), common::ShardNumber(0), common::BackendId(1), common::Epoch(5), true}};
   fixture.confirm(at(1), moving);
-  CHECK(fixture.ask(at(2), kKeyed, "POST").forwards.empty());
+  CHECK(fixture.send_request(at(2), kKeyed, "POST").forwards.empty());
   routing::TableUpdate update;
   update.base_index = common::LogIndex(11);
   update.current_index = common::LogIndex(12);
@@ -168,23 +171,23 @@
   CHECK(output.forwards[0].epoch == common::Epoch(12));
 }
 
-TEST_CASE("a full queue refuses at once and says when to come back") {
+TEST_CASE("a full queue refuses at once with a retry-after time") {
   Fixture fixture;
-  fixture.ask(at(1), kKeyed, "POST");
+  fixture.send_request(at(1), kKeyed, "POST");
   RouterOutput output;
   for (int i = 0; i < 8 && output.answers.empty(); ++i) {
-    output = fixture.ask(at(2), kKeyed, "POST");
+    output = fixture.send_request(at(2), kKeyed, "POST");
   }
   REQUIRE(output.answers.size() == 1);
   CHECK(output.answers[0].outcome == routing::Outcome::kNotRun);
   CHECK(output.answers[0].retry_after.count() > 0);
 }
 
-TEST_CASE("without confirmation the table is not served from") {
+TEST_CASE("a router does not serve from an unconfirmed table") {
   Fixture fixture;
   CHECK(fixture.core.is_serving(at(2999)));
   CHECK_FALSE(fixture.core.is_serving(at(3001)));
-  const RouterOutput output = fixture.ask(at(3001), kFree, "GET");
+  const RouterOutput output = fixture.send_request(at(3001), kUnkeyed, "GET");
   REQUIRE(output.answers.size() == 1);
   CHECK(output.answers[0].reason == routing::NotRunReason::kNotServing);
 }
@@ -198,7 +201,7 @@
   CHECK(fixture.core.table().index() == common::LogIndex(10));
 }
 
-TEST_CASE("what can never run is told so") {
+TEST_CASE("a request that can never run is marked as such") {
   Fixture fixture;
   fixture.core.on_request(at(1), {50, kKeyed, "", "GET", 0});
   fixture.core.on_request(at(1), {51, {common::TenantName("no"), {}}, "", "GET", 0});
@@ -208,9 +211,9 @@
   CHECK(output.answers[1].can_never_run);
 }
 
-TEST_CASE("a caller that goes away cancels its attempt") {
+TEST_CASE("the attempt of a disconnected caller is cancelled") {
   Fixture fixture;
-  const auto attempt = fixture.ask(at(1), kFree, "GET").forwards.at(0).attempt;
+  const auto attempt = fixture.send_request(at(1), kUnkeyed, "GET").forwards.at(0).attempt;
   fixture.core.on_caller_disconnected(at(1), 1);
   const RouterOutput output = fixture.core.take_output();
   REQUIRE(output.cancels.size() == 1);
@@ -218,7 +221,7 @@
   CHECK(fixture.core.is_drained());
 }
 
-TEST_CASE("hellos go to the leader alone while it answers, as seldom as it asks") {
+TEST_CASE("while the leader answers, hellos go to it alone, at the interval that it requests") {
   Fixture fixture;
   routing::TableUpdate update;
   update.echo_clock_us = common::to_microseconds(at(10));
@@ -237,12 +240,12 @@
   }
   CHECK(hellos >= 5);
   CHECK(hellos <= 7);
-  // Two intervals without an answer: the leader may be another one now.
+  // Hellos go to all after two intervals without an answer: another controller may lead now.
   CHECK(first_to_all > 10 + 2 * 400 - 5);
   CHECK(first_to_all < 10 + 3 * 400 + 5);
 }
 
-TEST_CASE("a router that has heard no leader says hello to all") {
+TEST_CASE("a router without a leader sends hellos to all controllers") {
   RouterCore core(Fixture::options(), common::RandomEngine(1), at(0));
   core.tick(at(1));
   const RouterOutput output = core.take_output();
@@ -250,7 +253,7 @@
   CHECK(output.hello_to_all);
 }
 
-TEST_CASE("a router that lacks an update says so at once, one that has it waits for its turn") {
+TEST_CASE("a router that lacks an update sends a hello at once, otherwise at its interval") {
   Fixture fixture;
   fixture.tick(at(1));
   routing::TableUpdate update;
@@ -273,7 +276,7 @@
   CHECK(output.hello->table_index == common::LogIndex(11));
 }
 
-TEST_CASE("callers whose key has no owner are told times of their own to come back") {
+TEST_CASE("callers whose key has no owner get different retry-after times") {
   RouterCore core(Fixture::options(), common::RandomEngine(1), at(0));
   core.tick(at(1));
   (void)core.take_output();
@@ -306,7 +309,7 @@
     caller.route = RouteCall{"album.example", "/a", static_cast<std::uint32_t>(i)};
     core.on_request(at(3), caller);
   }
-  std::set<Duration> told;
+  std::set<Duration> retry_times;
   for (std::int64_t time = 4; time < 200; time += 5) {
     core.tick(at(time));
     for (const Answer& answer : core.take_output().answers) {
@@ -314,18 +317,18 @@
       CHECK(answer.reason == routing::NotRunReason::kNoOwner);
       CHECK(answer.retry_after >= milliseconds(300));
       CHECK(answer.retry_after < milliseconds(600));
-      told.insert(answer.retry_after);
+      retry_times.insert(answer.retry_after);
     }
   }
-  CHECK(told.size() == kCallers);
+  CHECK(retry_times.size() == kCallers);
 }
 
-// Guards against a wave of returns: all callers that came before the first table were told the same
-// second, and came back together.
-TEST_CASE("callers who come before the first table are told times of their own to come back") {
+// Guards against synchronized retries: callers that came before the first table all got the same
+// retry-after time of one second.
+TEST_CASE("callers that come before the first table get different retry-after times") {
   RouterCore core(Fixture::options(), common::RandomEngine(1), at(0));
   constexpr std::size_t kCallers = 20;
-  std::set<Duration> told;
+  std::set<Duration> retry_times;
   for (std::size_t i = 0; i < kCallers; ++i) {
     CallerRequest caller;
     caller.handle = i + 1;
@@ -337,13 +340,13 @@
       CHECK(answer.reason == routing::NotRunReason::kNotServing);
       CHECK(answer.retry_after >= core.options().unavailable_retry_after);
       CHECK(answer.retry_after < 2 * core.options().unavailable_retry_after);
-      told.insert(answer.retry_after);
+      retry_times.insert(answer.retry_after);
     }
   }
-  CHECK(told.size() == kCallers);
+  CHECK(retry_times.size() == kCallers);
 }
 
-/// A router of a zone with back ends there and elsewhere, and a service with or without keys.
+/// A router with a back end in its own zone and one in another, and a keyed or unkeyed service.
 struct RoutedFixture {
   RouterCore core;
   RequestHandle next_handle = 1;
@@ -357,7 +360,8 @@
     return options;
   }
 
-  /// @param adjust takes safeguards away. @param routers that there are, by the leader's word.
+  /// @param routers number of routers that the leader reports. @param adjust changes options, for
+  /// example to disable a safeguard.
   explicit RoutedFixture(bool keyed, const std::string& name = "r", std::uint32_t routers = 1,
                          void (*adjust)(RouterOptions&) = nullptr)
       : core(adjusted(name, adjust), common::RandomEngine(std::hash<std::string>{}(name)), at(0)) {
@@ -394,11 +398,11 @@
   }
 
   static RouterOptions adjusted(const std::string& name, void (*adjust)(RouterOptions&)) {
-    RouterOptions made = options(name);
+    RouterOptions result = options(name);
     if (adjust != nullptr) {
-      adjust(made);
+      adjust(result);
     }
-    return made;
+    return result;
   }
 
   void install(TimePoint now, routing::TableDelta delta, std::uint32_t routers = 1) {
@@ -425,8 +429,8 @@
     install(now, delta, routers);
   }
 
-  /// The back ends that get one of `count` requests at this moment; each is answered in the time
-  /// that a router expects of a back end it does not know.
+  /// Sends `count` requests and returns the back ends that got one; each request is answered in the
+  /// time that a router expects of an unknown back end.
   std::multiset<std::string> receivers(TimePoint now, int count) {
     std::multiset<std::string> seen;
     for (int i = 0; i < count; ++i) {
@@ -449,7 +453,8 @@
 };
 
 TEST_CASE(
-    "nothing goes to an evacuated zone, and it is used again once it is taken back and warm") {
+    "an evacuated zone gets no requests until its evacuation is revoked and its back ends are "
+    "warm") {
   RoutedFixture fixture(false);
   CHECK(fixture.receivers(at(2), 50).contains("1"));
   fixture.evacuate(at(10), "north", true);
@@ -457,30 +462,30 @@
   CHECK(during.count("1") == 0);
   CHECK(during.count("2") == 50);
   fixture.evacuate(at(20), "north", false);
-  CHECK(fixture.receivers(at(21), 50).count("1") <= 1);  // it may have turned cold
+  CHECK(fixture.receivers(at(21), 50).count("1") <= 1);  // the back end may have turned cold
   routing::TableDelta warmed = fixture.next_delta();
   warmed.warmth.push_back({common::BackendId(1), false});
   fixture.install(at(30), warmed);
   CHECK(fixture.receivers(at(31), 50).count("1") > 5);
 }
 
-TEST_CASE("where every zone is evacuated, callers are refused") {
+TEST_CASE("callers are refused if every zone is evacuated") {
   RoutedFixture fixture(false);
   fixture.evacuate(at(10), "north", true);
   fixture.evacuate(at(10), "south", true);
   CHECK(fixture.receivers(at(11), 50).empty());
 }
 
-TEST_CASE("an owner in an evacuated zone gets requests while its keys are handed over, not after") {
+TEST_CASE("an owner in an evacuated zone gets requests only while its keys are handed over") {
   RoutedFixture fixture(true);
   fixture.evacuate(at(10), "north", true);
   CHECK(fixture.receivers(at(1000), 5).count("1") == 5);
   CHECK(fixture.receivers(at(2011), 5).empty());
 }
 
-/// Most requests in one second that the back end gets from 68 routers which all want to use it, and
-/// all of which learn at the same moment that its zone is taken back.
-std::size_t most_in_a_second(bool keyed, void (*adjust)(RouterOptions&)) {
+/// Returns the largest number of requests in one second that back end 1 gets from 68 routers that
+/// all receive the end of its zone's evacuation at the same time.
+std::size_t peak_requests_per_second(bool keyed, void (*adjust)(RouterOptions&)) {
   constexpr std::uint32_t kRouters = 68;
   constexpr std::int64_t kStep = 25;
   std::vector<std::unique_ptr<RoutedFixture>> routers;
@@ -490,7 +495,7 @@
     routers.back()->evacuate(at(10), "north", true, kRouters);
     routers.back()->evacuate(at(20), "north", false, kRouters);
     if (!keyed) {
-      // No other back end is there to take the requests.
+      // Leaves no other back end for the requests.
       routers.back()->evacuate(at(20), "south", true, kRouters);
     }
   }
@@ -514,14 +519,14 @@
   return most;
 }
 
-TEST_CASE("what all routers send to a cold back end in a second stays below what it bears") {
-  constexpr std::size_t kAllowed = 14;  // 4.2 a second, half as much again, and 8
+TEST_CASE("all routers together keep to the rate limit of a cold back end") {
+  constexpr std::size_t kAllowed = 14;  // 1.5 times the cold rate of 4.2 a second, plus 8
   for (const bool keyed : {false, true}) {
     CAPTURE(keyed);
-    const std::size_t most = most_in_a_second(keyed, nullptr);
+    const std::size_t most = peak_requests_per_second(keyed, nullptr);
     CHECK(most <= kAllowed);
-    CHECK(most >= 1);  // some of it is used
-    CHECK(most_in_a_second(keyed, [](RouterOptions& options) {
+    CHECK(most >= 1);  // the back end is used
+    CHECK(peak_requests_per_second(keyed, [](RouterOptions& options) {
             options.cold_limit.is_enabled = false;
           }) > kAllowed);
   }
