--- a/test/router/arrival_time_test.cpp
+++ b/test/router/arrival_time_test.cpp
@@ -1,4 +1,4 @@
-/// What the deployed settings leave of a promise about back ends that leave.
+/// Checks that the deployed settings keep the promised time for back ends that leave.
 
 #include "router/arrival_time.hpp"
 
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A setting "name = N" of the deployed routers, in milliseconds.
+/// Reads a setting "name = N", in milliseconds, of the deployed routers.
 common::Duration deployed(const std::string& name) {
   std::ifstream file("deploy/router.conf");
   REQUIRE(file.good());
@@ -35,9 +35,9 @@
   return settings;
 }
 
-// Guards against a part that grows until a table which is allowed and a request on its way take
-// longer together than is promised.
-TEST_CASE("the oldest table and the way of a request fit into the promise") {
+// Guards against settings with which the maximum age of the table and the arrival time of a request
+// add up to more than the promised time.
+TEST_CASE("the maximum table age and a request's arrival time fit into the promised time") {
   const ArrivalTime arrival = arrival_time(deployed_settings());
   CHECK(arrival.connection > common::Duration(0));
   CHECK(arrival.turns > common::Duration(0));
@@ -47,9 +47,9 @@
   }
 }
 
-// The same for large requests, which take their time at the link as well: a table may be the
-// younger by it, down to a bound below which every lost question would stop a router.
-TEST_CASE("the oldest table and the way of a large request fit into the promise") {
+// The same for large requests, which also take transmission time on the link: the maximum age of
+// the table shrinks by that time, down to a bound below which every lost query would stop a router.
+TEST_CASE("the maximum table age and a large request's arrival time fit into the promised time") {
   constexpr double kNarrowLink = 4.2e6 / 8;  // bytes a second
   constexpr auto kPromised = milliseconds(2000);
   const ArrivalTime arrival = arrival_time(deployed_settings());
@@ -70,18 +70,19 @@
     const common::Duration passing = window.passing_time(bytes);
     CHECK(oldest_for(passing) + passing + arrival.total() <= kPromised);
   }
-  // Beside as many bound ones as may be.
+  // While the link carries as much as is admitted.
   window.bind(as_of, 1, 100'000);
   REQUIRE(window.admits(as_of, 50'000));
   const common::Duration passing = window.passing_time(50'000);
   CHECK(oldest_for(passing) + passing + arrival.total() <= kPromised);
-  // One that takes longer than that is begun with the youngest table that is asked for.
+  // A request that takes longer is sent with the shortest maximum age that is supported.
   CHECK(oldest_for(seconds(5)) == options.shortest_max_age);
 }
 
-// Guards against requests to owners in an evacuated zone that end by a time of their own, whatever
-// is promised.
-TEST_CASE("the oldest table, the grace of an evacuation and the way fit into its promise") {
+// Guards against requests to owners in an evacuated zone that end after a constant time, whatever
+// time is promised.
+TEST_CASE(
+    "the maximum table age, the grace period and the arrival time fit into an evacuation's time") {
   const ArrivalTime arrival = arrival_time(deployed_settings());
   const common::Duration oldest = arrival.oldest_table(seconds(2));
   const common::Duration wanted = RouterOptions().evacuation_grace;
@@ -92,7 +93,7 @@
   CHECK(arrival.grace(seconds(0), oldest, wanted) == wanted);
 }
 
-TEST_CASE("a table may be as old as it likes where nothing is promised") {
+TEST_CASE("the table age is not limited if no time is promised") {
   CHECK(arrival_time(deployed_settings()).oldest_table(milliseconds(0)) == milliseconds(0));
 }
 
