--- a/src/ownership/commands.hpp
+++ b/src/ownership/commands.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Commands of the replicated log, and the answers they give.
+/// Commands of the replicated log and the results returned to operators.
 
 #include <chrono>
 #include <cstdint>
@@ -23,7 +23,7 @@
 
 enum class DeclarationKind : std::uint8_t { kTemplate = 0, kTenant = 1 };
 
-/// An operator's change of a template or tenant. An empty document withdraws it.
+/// An operator's change to a template or tenant. An empty document withdraws it.
 struct ChangeDeclaration {
   std::uint8_t kind = 0;  ///< a DeclarationKind
   std::string name;
@@ -33,14 +33,14 @@
   MSGPACK_DEFINE_ARRAY(kind, name, replaces, change_id, document)
 };
 
-/// How a back end holds what it owns.
+/// How ownership is granted to a back end.
 enum class OwnershipContract : std::uint8_t {
-  kHolderClockLease = 0,  ///< lease sessions whose expiry is fixed in the holder's clock
-  kFencedGrant = 1,       ///< fenced grants whose time runs from their arrival at the holder
-  kReportedGrant = 2,     ///< fenced grants that are told in the answers to the holder's heartbeats
+  kHolderClockLease = 0,  ///< lease sessions that expire on the holder's clock
+  kFencedGrant = 1,       ///< fenced grants whose duration counts from arrival at the holder
+  kReportedGrant = 2,     ///< fenced grants carried by the responses to heartbeats
 };
 
-/// A back end's incarnation was seen; the entry's index becomes its BackendId.
+/// Registers an incarnation of a back end. The index of the log entry becomes its BackendId.
 struct RegisterBackend {
   common::MachineName machine;
   std::string address;
@@ -48,28 +48,29 @@
   common::PoolName pool;
   common::Incarnation incarnation;
   std::uint8_t contract = 0;  ///< an OwnershipContract
-  std::uint32_t slots = 0;    ///< requests it runs at once; 0: as its service says
-  bool cold = false;          ///< it is slow from its start, and bears few requests a second
-  bool leaving = false;       ///< it is draining already
+  std::uint32_t slots = 0;    ///< concurrent requests; 0: the service's default
+  bool cold = false;          ///< not warmed up: slow, with capacity for few requests per second
+  bool leaving = false;       ///< already draining
   MSGPACK_DEFINE_ARRAY(machine, address, zone, pool, incarnation, contract, slots, cold, leaving)
 };
 
-/// An operator drains a machine, or takes that back. Holds for later incarnations too.
+/// Starts or cancels an operator's drain of a machine. Applies to later incarnations too.
 struct DrainMachine {
   common::MachineName machine;
   bool draining = true;
   MSGPACK_DEFINE_ARRAY(machine, draining)
 };
 
-/// A back end is leaving by its own word or by the platform list.
+/// Marks a back end as leaving, as reported by itself or by the platform's machine list.
 struct MarkLeaving {
   BackendId backend;
   bool leaving = true;
-  /// It has said goodbye: its incarnation is never registered again.
+  /// The back end has deregistered: its incarnation is never registered again.
   bool departed = false;
-  /// Its process has ended: another incarnation has answered at its address.
+  /// The back end's process has ended: another incarnation has answered at its address.
   bool ended = false;
-  /// Says goodbye without having been registered (`backend` is 0): its heartbeats may still come.
+  /// Incarnation that deregisters without being registered (`backend` is 0). Its heartbeats may
+  /// still arrive later.
   common::Incarnation incarnation{};
   MSGPACK_DEFINE_ARRAY(backend, leaving, departed, ended, incarnation)
 };
@@ -80,7 +81,7 @@
   MSGPACK_DEFINE_ARRAY(service, targets)
 };
 
-/// Gives a shard to an owner (0: to nobody). Ignored unless the shard still has `expected_epoch`.
+/// Assigns a shard to an owner (0: none). Ignored unless the shard still has `expected_epoch`.
 struct ShardAssignment {
   ServiceId service;
   ShardNumber shard;
@@ -89,18 +90,18 @@
   MSGPACK_DEFINE_ARRAY(service, shard, expected_epoch, owner)
 };
 
-/// Announces a planned move; the owner is asked to release the shard.
+/// Starts a planned move: the owner is asked to release the shard.
 struct MoveIntent {
   ServiceId service;
   ShardNumber shard;
   Epoch expected_epoch;
-  BackendId to;  ///< 0: only release
+  BackendId to;  ///< the next owner; 0: release only
   MSGPACK_DEFINE_ARRAY(service, shard, expected_epoch, to)
 };
 
-/// The leader's decisions of one moment, taken as a whole.
+/// Decisions of one planning pass of the leader, applied atomically.
 struct ApplyPlan {
-  std::vector<BackendId> lost;  ///< sessions that have ended for certain
+  std::vector<BackendId> lost;  ///< back ends whose lease has certainly expired
   std::vector<TargetSet> targets;
   std::vector<ShardAssignment> assignments;
   std::vector<MoveIntent> moves;
@@ -111,23 +112,24 @@
   }
 };
 
-/// An operator's change of the route configuration.
+/// An operator's change to the route configuration.
 struct ChangeRoutes {
   config::RouteChange change;
   MSGPACK_DEFINE_ARRAY(change)
 };
 
-/// Routers send nothing more for these keys, and their owner is to give them up. Ignored unless
-/// the keys are part of one range under `expected_fence`.
+/// Starts a move of keys: routers stop sending requests for them, and the owner is asked to release
+/// them. Ignored unless one range with the fence `expected_fence` contains all the keys.
 struct RangeMove {
   ServiceId service;
   KeyRange keys;
   Epoch expected_fence;
-  BackendId to;  ///< the owner intended next; 0: none yet
+  BackendId to;  ///< the next owner; 0: not chosen yet
   MSGPACK_DEFINE_ARRAY(service, keys, expected_fence, to)
 };
 
-/// Gives keys to an owner; its index becomes their fence. Ignored as above.
+/// Assigns keys to an owner; the index of the log entry becomes their fence. Ignored under the same
+/// condition as RangeMove.
 struct RangeAssignment {
   ServiceId service;
   KeyRange keys;
@@ -137,8 +139,8 @@
   MSGPACK_DEFINE_ARRAY(service, keys, expected_fence, owner, handover)
 };
 
-/// Makes one range of neighbours that one owner holds, under a new fence. Ignored unless they are
-/// whole ranges of that owner and none is moving.
+/// Joins adjacent ranges of one owner into one range under a new fence. Ignored unless `keys`
+/// covers whole ranges of that owner, none of which is moving.
 struct RangeJoin {
   ServiceId service;
   KeyRange keys;
@@ -146,9 +148,9 @@
   MSGPACK_DEFINE_ARRAY(service, keys, owner)
 };
 
-/// The leader's decisions of one moment about back ends that hold fenced grants.
+/// Decisions of one planning pass of the leader about back ends that hold fenced grants.
 struct ApplyRangePlan {
-  std::vector<BackendId> removed;  ///< gone, and owning nothing any more
+  std::vector<BackendId> removed;  ///< ended or departed back ends that own no keys
   std::vector<RangeMove> moves;
   std::vector<RangeAssignment> assignments;
   std::vector<RangeJoin> joins;
@@ -159,32 +161,33 @@
   }
 };
 
-/// What a new leader must know of the grants of the one before.
+/// What a new leader needs to know about the grants of its predecessor.
 struct GrantTerms {
-  /// Back ends that may take an order late, in the order of their ids.
+  /// Back ends that may still accept an unanswered order, sorted by id.
   std::vector<BackendId> in_doubt;
-  std::uint32_t hold_ms = 0;  ///< the longest that a grant was given for; 0: the default
+  std::uint32_t hold_ms = 0;  ///< the longest hold time of any grant; 0: the default
   bool operator==(const GrantTerms&) const = default;
   MSGPACK_DEFINE_ARRAY(in_doubt, hold_ms)
 
   std::chrono::milliseconds hold() const { return std::chrono::milliseconds(hold_ms); }
 };
 
-/// Commits terms before the leader acts on them.
+/// Commits grant terms before the leader acts on them.
 struct SetGrantTerms {
   GrantTerms terms;
   MSGPACK_DEFINE_ARRAY(terms)
 };
 
-/// An operator keeps all requests off the back ends of a zone, or takes that back. Where it is
-/// taken back, every back end of the zone counts as cold until it has said otherwise.
+/// Starts or ends an operator's evacuation of a zone, during which its back ends receive no
+/// requests. When the evacuation ends, every back end of the zone counts as cold until it reports
+/// otherwise.
 struct EvacuateZone {
   common::ZoneName zone;
   bool evacuated = true;
   MSGPACK_DEFINE_ARRAY(zone, evacuated)
 };
 
-/// What heartbeats tell of back ends that are cold: slow, and bearing few requests a second.
+/// Changes of the cold state that back ends report in heartbeats.
 struct SetWarmth {
   std::vector<BackendId> cooled;
   std::vector<BackendId> warmed;
@@ -211,12 +214,12 @@
   return "invalid";
 }
 
-/// What an operator is told about a change; a resend of the same change gets the same answer.
+/// Result of a change, returned to the operator. A resend of the same change gets the same result.
 struct ChangeAnswer {
   std::uint8_t status = 0;    ///< a ChangeStatus
-  common::Revision revision;  ///< accepted: the new revision or version; conflict: the winner's
+  common::Revision revision;  ///< accepted: the new revision or version; conflict: the current one
   LogIndex index;             ///< log index of the accepted change
-  common::ChangeId winner;    ///< conflict: the change that came first
+  common::ChangeId winner;    ///< conflict: the change that was committed first
   std::string message;
   MSGPACK_DEFINE_ARRAY(status, revision, index, winner, message)
 
--- a/src/ownership/lease_messages.hpp
+++ b/src/ownership/lease_messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// Messages of the lease session between the leading controller and a back end.
-/// They may arrive late, twice or out of order; the holder's rules make that harmless.
+/// They may arrive late, twice or out of order; the rules that the holder applies make this safe.
 
 #include <cstdint>
 #include <string>
@@ -15,11 +15,11 @@
 struct LeaseRequest {
   common::CellName cell;
   common::Term term;
-  common::Incarnation incarnation;    ///< empty at first contact
-  std::int64_t expires_clock_us = 0;  ///< in the holder's clock; 0: no lease yet
+  common::Incarnation incarnation;    ///< empty in the first request to a machine
+  std::int64_t expires_clock_us = 0;  ///< on the holder's clock; 0: no lease yet
   LogIndex grants_index;
   std::string grants_digest;
-  bool has_grants = false;  ///< false: the set is left out, the digest should match
+  bool has_grants = false;  ///< false: `grants` is omitted, as the holder should have this digest
   std::vector<Grant> grants;
 };
 
@@ -41,13 +41,13 @@
 struct LeaseReply {
   LeaseStatus status = LeaseStatus::kAccepted;
   common::Incarnation incarnation;
-  std::int64_t clock_us = 0;  ///< the holder's clock when it answered
+  std::int64_t clock_us = 0;  ///< the holder's clock when the reply was sent
   std::string grants_digest;
   BackendState state = BackendState::kReady;
   BackendLoad load;
 };
 
-/// One shard under the epoch it is held by.
+/// A shard and the epoch under which it is held.
 struct HeldShard {
   common::ServiceKey service;
   ShardNumber shard;
@@ -55,7 +55,8 @@
   auto operator<=>(const HeldShard&) const = default;
 };
 
-/// `PUT /planktray/v1/release`: take no new work, answer when the running work has ended.
+/// `PUT /planktray/v1/release`: accept no new requests for these shards, and reply when the running
+/// requests have ended.
 struct ReleaseRequest {
   common::CellName cell;
   common::Term term;
