--- a/src/ownership/target_times.cpp
+++ b/src/ownership/target_times.cpp
@@ -6,10 +6,10 @@
 namespace planktray::ownership {
 namespace {
 
-constexpr double kMostWeight = 0.6;
-/// A back end counts as a typical one by so many requests: one request's time scatters by about its
-/// own mean, so that the first few say little.
-constexpr double kTypicalSamples = 4.0;
+constexpr double kMaxReportWeight = 0.6;
+/// Number of samples with the typical time that are added to the samples of each back end. The
+/// standard deviation of request times is about their mean, so a few samples are not significant.
+constexpr double kPriorSamples = 4.0;
 
 }  // namespace
 
@@ -18,43 +18,43 @@
     if (report.samples == 0) {
       continue;
     }
-    Measured& measured = times_[report.backend];
-    measured.samples += report.samples;
-    // The mean of all so far, until a smoothed one forgets faster.
-    const double mean_weight = report.samples / measured.samples;
+    Measurement& measurement = times_[report.backend];
+    measurement.samples += report.samples;
+    // Uses the plain mean until exponential smoothing gives new samples a higher weight.
+    const double mean_weight = report.samples / measurement.samples;
     const double weight =
-        std::max(mean_weight, std::min(kMostWeight, sample_weight_ * report.samples));
-    measured.time_us += weight * (report.time_us - measured.time_us);
+        std::max(mean_weight, std::min(kMaxReportWeight, sample_weight_ * report.samples));
+    measurement.time_us += weight * (report.time_us - measurement.time_us);
   }
 }
 
-double TargetTimes::drawn_to(const Measured& measured, double typical) {
-  return (measured.time_us * measured.samples + typical * kTypicalSamples) /
-         (measured.samples + kTypicalSamples);
+double TargetTimes::shrunk_time(const Measurement& measurement, double typical) {
+  return (measurement.time_us * measurement.samples + typical * kPriorSamples) /
+         (measurement.samples + kPriorSamples);
 }
 
 Capacities TargetTimes::capacities(const CellState& state) const {
-  struct Sum {
-    double logarithms = 0;
+  struct PoolSum {
+    double log_times = 0;
     double count = 0;
   };
-  std::map<common::PoolName, Sum> by_pool;
-  for (const auto& [id, measured] : times_) {
+  std::map<common::PoolName, PoolSum> by_pool;
+  for (const auto& [id, measurement] : times_) {
     const BackendRecord* backend = state.find_backend(id);
-    if (backend != nullptr && measured.time_us > 0) {
-      Sum& sum = by_pool[backend->pool];
-      sum.logarithms += std::log(measured.time_us);
+    if (backend != nullptr && measurement.time_us > 0) {
+      PoolSum& sum = by_pool[backend->pool];
+      sum.log_times += std::log(measurement.time_us);
       sum.count += 1;
     }
   }
   Capacities capacities;
-  for (const auto& [id, measured] : times_) {
+  for (const auto& [id, measurement] : times_) {
     const BackendRecord* backend = state.find_backend(id);
-    if (backend != nullptr && measured.time_us > 0) {
-      const Sum& sum = by_pool.at(backend->pool);
-      const double typical = std::exp(sum.logarithms / sum.count);
-      const double time = drawn_to(measured, typical);
-      capacities.set(id, std::clamp(typical / time, 1.0 / kMostSpread, kMostSpread));
+    if (backend != nullptr && measurement.time_us > 0) {
+      const PoolSum& sum = by_pool.at(backend->pool);
+      const double typical = std::exp(sum.log_times / sum.count);
+      const double time = shrunk_time(measurement, typical);
+      capacities.set(id, std::clamp(typical / time, 1.0 / kMaxCapacityRatio, kMaxCapacityRatio));
     }
   }
   return capacities;
--- a/src/ownership/target_times.hpp
+++ b/src/ownership/target_times.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// How long requests take at each back end, as routers measure it: the leader's view of speed.
+/// Request times of back ends as measured by routers, from which the leader estimates capacity.
 
 #include <map>
 #include <vector>
@@ -9,11 +9,11 @@
 
 namespace planktray::ownership {
 
-/// Requests that back ends can answer, relative to a typical one of their service.
+/// Request rates that back ends can serve, relative to a typical back end of their service.
 class Capacities {
  public:
   void set(common::BackendId id, double capacity) { capacities_[id] = capacity; }
-  /// 1 where nothing is known of it.
+  /// Returns 1 for a back end without measurements.
   double of(common::BackendId id) const {
     const auto found = capacities_.find(id);
     return found == capacities_.end() ? 1.0 : found->second;
@@ -23,29 +23,30 @@
   std::map<common::BackendId, double> capacities_;
 };
 
+/// Smooths the reported request times of each back end.
 class TargetTimes {
  public:
-  /// @param sample_weight of one new sample; a report counts as many samples as it has.
+  /// @param sample_weight smoothing weight of one sample; a report weighs as much as its samples.
   explicit TargetTimes(double sample_weight) : sample_weight_(sample_weight) {}
 
   void add(const std::vector<routing::TargetTime>& times);
   void clear() { times_.clear(); }
-  /// Within [1 / kMostSpread, kMostSpread].
+  /// Returns capacities within [1 / kMaxCapacityRatio, kMaxCapacityRatio].
   Capacities capacities(const CellState& state) const;
 
  private:
-  static constexpr double kMostSpread = 4.0;
+  static constexpr double kMaxCapacityRatio = 4.0;
 
-  struct Measured {
+  struct Measurement {
     double time_us = 0;  ///< smoothed
-    double samples = 0;  ///< so far
+    double samples = 0;  ///< total so far
   };
 
-  /// The measured time, drawn towards the typical one while samples are few.
-  static double drawn_to(const Measured& measured, double typical);
+  /// Returns the measured time, shrunk towards the typical time while samples are few.
+  static double shrunk_time(const Measurement& measurement, double typical);
 
   double sample_weight_;
-  std::map<common::BackendId, Measured> times_;
+  std::map<common::BackendId, Measurement> times_;
 };
 
 }  // namespace planktray::ownership
--- a/test/ownership/target_times_test.cpp
+++ b/test/ownership/target_times_test.cpp
@@ -7,7 +7,7 @@
 namespace planktray::ownership {
 namespace {
 
-/// Back ends of one service, by the order in which they registered.
+/// Back ends of one service, in the order of registration.
 struct Pool {
   CellState state;
   std::vector<BackendId> backends;
@@ -27,7 +27,7 @@
   }
 };
 
-// Guards against keys that are piled on a target since its first request happened to be short.
+// Guards against assigning too many keys to a target whose first request happened to be short.
 TEST_CASE("one short request does not make a target fast") {
   const Pool pool(3);
   TargetTimes times(0.04);
