--- a/src/ownership/key_loads.cpp
+++ b/src/ownership/key_loads.cpp
@@ -7,10 +7,10 @@
 namespace planktray::ownership {
 namespace {
 
-/// A smaller rate is as good as none; it bounds the memory to keys in use.
-constexpr float kSmallestRate = 0.01F;
-/// So many requests for one key between two folds are no chance.
-constexpr float kTellingCount = 6;
+/// Keys with a smaller rate, in requests per second, are dropped to bound the memory.
+constexpr float kMinRate = 0.01F;
+/// The least number of requests between two folds that is statistically significant.
+constexpr float kSignificantCount = 6;
 
 }  // namespace
 
@@ -28,25 +28,25 @@
   if (seconds <= 0) {
     return;
   }
-  last_seconds_ = seconds;
+  last_interval_s_ = seconds;
   const double half_lives = seconds / std::chrono::duration<double>(half_life_).count();
-  const auto kept = static_cast<float>(std::exp2(-half_lives));
-  const auto taken = static_cast<float>((1.0 - kept) / seconds);
+  const auto decay = static_cast<float>(std::exp2(-half_lives));
+  const auto weight = static_cast<float>((1.0 - decay) / seconds);
   for (auto& [id, service] : services_) {
     service.burst = {};
     for (const auto& [key, count] : service.counted) {
-      if (count >= kTellingCount && count / seconds > service.burst.rate) {
+      if (count >= kSignificantCount && count / seconds > service.burst.rate) {
         service.burst = {key, count / seconds};
       }
     }
     for (auto& [key, rate] : service.rates) {
-      rate *= kept;
+      rate *= decay;
     }
     for (const auto& [key, count] : service.counted) {
-      service.rates[key] += count * taken;
+      service.rates[key] += count * weight;
     }
-    service.last = std::exchange(service.counted, {});
-    std::erase_if(service.rates, [](const auto& item) { return item.second < kSmallestRate; });
+    service.last_counts = std::exchange(service.counted, {});
+    std::erase_if(service.rates, [](const auto& item) { return item.second < kMinRate; });
   }
 }
 
@@ -90,13 +90,13 @@
   const double half_lives = std::chrono::duration<double>(observed_time()) / half_life_;
   const double smoothed = rate(service, keys) / (1.0 - std::exp2(-half_lives));
   double counted = 0;
-  const auto& last = found->second.last;
+  const auto& last = found->second.last_counts;
   for (auto item = last.lower_bound(keys.first); item != last.end() && item->first <= keys.last;
        ++item) {
     counted += item->second;
   }
-  const double present = counted >= kTellingCount ? counted / last_seconds_ : 0;
-  return std::max(smoothed, present);
+  const double current = counted >= kSignificantCount ? counted / last_interval_s_ : 0;
+  return std::max(smoothed, current);
 }
 
 std::vector<KeyRate> KeyLoads::busy_keys(common::ServiceId service, const KeyRange& keys) const {
--- a/src/ownership/key_loads.hpp
+++ b/src/ownership/key_loads.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Requests a second for each key of the keyed services, as routers report them, smoothed.
+/// Smoothed requests per second for each key of the keyed services, from the reports of routers.
 
 #include <cstdint>
 #include <map>
@@ -13,46 +13,49 @@
 
 struct KeyRate {
   std::uint32_t key = 0;
-  double rate = 0;  ///< requests a second
+  double rate = 0;  ///< requests per second
 };
 
+/// Keeps exponentially smoothed request rates of keys.
 class KeyLoads {
  public:
-  /// @param half_life after which what was seen counts half.
+  /// @param half_life time after which the weight of an observation is halved.
   explicit KeyLoads(common::Duration half_life) : half_life_(half_life) {}
 
+  /// Adds request counts reported by a router.
   void add(const std::vector<routing::KeyLoad>& loads);
-  /// Takes what was added since the last call into the smoothed rates.
+  /// Updates the smoothed rates with the counts added since the last call.
   void fold(common::TimePoint now);
-  /// Begins anew, with what is added from now on.
+  /// Drops all loads and counts; observation starts again at `now`.
   void clear(common::TimePoint now);
-  /// Requests a second for one key.
+  /// Returns the smoothed requests per second for one key.
   double rate(common::ServiceId service, std::uint32_t key) const;
-  /// Requests a second for a range of keys.
+  /// Returns the smoothed requests per second for a range of keys.
   double rate(common::ServiceId service, const KeyRange& keys) const;
-  /// Requests a second for a range of keys, not low while little was seen yet: freed of the time
-  /// before clear(), and at once as high as the last fold where that is no chance.
+  /// Returns the estimated requests per second for a range of keys. Unlike rate(), the estimate is
+  /// not too low shortly after clear(), and it follows a significant increase in the last fold
+  /// immediately.
   double demand(common::ServiceId service, const KeyRange& keys) const;
-  /// Time since clear() that the rates cover.
+  /// Returns the time from clear() to the last fold.
   common::Duration observed_time() const { return folded_at_ - cleared_at_; }
-  /// The busiest key, by what was seen since the last fold where that is enough to tell, by its
-  /// smoothed rate otherwise; rate 0 where there is none.
+  /// Returns the busiest key, by its requests between the last two folds where those are
+  /// significant, otherwise by its smoothed rate. The rate is 0 if there is no such key.
   KeyRate hottest(common::ServiceId service) const;
-  /// The keys of a range that had requests lately, in their order.
+  /// Returns the keys of a range with recent requests, in ascending order.
   std::vector<KeyRate> busy_keys(common::ServiceId service, const KeyRange& keys) const;
 
  private:
   struct ServiceLoads {
-    std::map<std::uint32_t, float> counted;  ///< since the last fold
-    std::map<std::uint32_t, float> rates;    ///< keys with a rate worth keeping
-    std::map<std::uint32_t, float> last;     ///< counted between the last two folds
-    KeyRate burst;                           ///< the busiest key between the last two folds
+    std::map<std::uint32_t, float> counted;      ///< requests since the last fold
+    std::map<std::uint32_t, float> rates;        ///< smoothed rates of at least kMinRate
+    std::map<std::uint32_t, float> last_counts;  ///< requests between the last two folds
+    KeyRate burst;                               ///< the busiest key between the last two folds
   };
 
   common::Duration half_life_;
   common::TimePoint folded_at_;
   common::TimePoint cleared_at_;
-  double last_seconds_ = 1;  ///< between the last two folds
+  double last_interval_s_ = 1;  ///< between the last two folds
   std::map<common::ServiceId, ServiceLoads> services_;
 };
 
--- a/src/ownership/load_view.cpp
+++ b/src/ownership/load_view.cpp
@@ -27,10 +27,10 @@
     return;
   }
   const double half_lives = seconds / std::chrono::duration<double>(half_life_).count();
-  const double kept = std::exp2(-half_lives);
+  const double decay = std::exp2(-half_lives);
   for (auto& [id, service] : services_) {
     for (std::size_t i = 0; i < service.rates.size(); ++i) {
-      service.rates[i] = service.rates[i] * kept + (service.counted[i] / seconds) * (1.0 - kept);
+      service.rates[i] = service.rates[i] * decay + (service.counted[i] / seconds) * (1.0 - decay);
       service.counted[i] = 0;
     }
   }
--- a/src/ownership/load_view.hpp
+++ b/src/ownership/load_view.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// Load of shards as routers count it, smoothed. Volatile: a new leader starts with none.
+/// Smoothed load of shards, from the request counts that routers report. Not replicated: a new
+/// leader starts without loads.
 
 #include <map>
 #include <vector>
@@ -9,23 +10,24 @@
 
 namespace planktray::ownership {
 
+/// Keeps exponentially smoothed request rates of shards.
 class LoadView {
  public:
-  /// @param half_life time after which an old observation counts half.
+  /// @param half_life time after which the weight of an observation is halved.
   explicit LoadView(common::Duration half_life = std::chrono::seconds(5)) : half_life_(half_life) {}
 
-  /// Adds what one router counted since its last report.
+  /// Adds the requests that a router has counted since its last report.
   void add(const std::vector<routing::ShardLoad>& loads);
-  /// Folds what was added since the last call into the smoothed rates.
+  /// Updates the smoothed rates with the counts added since the last call.
   void fold(common::TimePoint now);
-  /// Requests a second of one shard, smoothed.
+  /// Returns the smoothed requests per second of a shard.
   double rate(common::ServiceId service, common::ShardNumber shard) const;
   void clear();
 
  private:
   struct ServiceLoad {
-    std::vector<double> counted;
-    std::vector<double> rates;
+    std::vector<double> counted;  ///< requests since the last fold, by shard
+    std::vector<double> rates;    ///< smoothed requests per second, by shard
   };
 
   common::Duration half_life_;
