--- a/src/ownership/holdings_report.hpp
+++ b/src/ownership/holdings_report.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// Grants that are told in the answers to heartbeats: what a back end says it holds, and what it is
-/// told to hold until its next heartbeat.
+/// Grants carried by heartbeats: the keys that a back end reports as held, and the keys that the
+/// response grants to it until its next heartbeat.
 
 #include <string>
 #include <vector>
@@ -10,34 +10,35 @@
 
 namespace planktray::ownership {
 
-/// Keys that a back end holds, or still works on.
+/// Keys that a back end holds, or for which it still runs requests.
 struct HeldKeys {
   KeyRange keys;
   Epoch fence;
 };
 
-/// Keys that it has released.
+/// Keys that a back end has released.
 struct ReleasedKeys {
   KeyRange keys;
   std::string handover;
 };
 
-/// Part of a heartbeat.
+/// Holdings that a back end reports in a heartbeat.
 struct HoldingsReport {
   std::vector<HeldKeys> held;
-  std::vector<ReleasedKeys> released;  ///< since its last heartbeat that was acknowledged
+  std::vector<ReleasedKeys> released;  ///< since the last acknowledged heartbeat
 };
 
+/// Keys granted to a back end.
 struct GrantedKeys {
   KeyRange keys;
   Epoch fence;
-  std::string handover;  ///< of the holder before; empty: none
+  std::string handover;  ///< handover data of the previous holder; empty: none
 };
 
-/// Part of the answer to a heartbeat: all that the back end is to hold. It releases the rest.
+/// All keys granted in the response to a heartbeat. The back end releases all others.
 struct GrantedHoldings {
   std::vector<GrantedKeys> ranges;
-  common::Duration hold_time{0};  ///< from when the heartbeat was sent
+  common::Duration hold_time{0};  ///< counts from the sending of the heartbeat
 };
 
 }  // namespace planktray::ownership
