--- a/src/ownership/key_ranges.cpp
+++ b/src/ownership/key_ranges.cpp
@@ -6,7 +6,7 @@
 
 namespace planktray::ownership {
 
-bool RangeRecord::is_like(const RangeRecord& other) const {
+bool RangeRecord::has_same_ownership(const RangeRecord& other) const {
   return std::tie(owner, fence, moving, move_to, moving_since, handover) ==
          std::tie(other.owner, other.fence, other.moving, other.move_to, other.moving_since,
                   other.handover);
@@ -32,11 +32,11 @@
 
 bool KeyRangeMap::begin_move(LogIndex index, const KeyRange& keys, Epoch expected_fence,
                              BackendId to) {
-  const RangeRecord* present = find(keys, expected_fence);
-  if (present == nullptr || present->moving || present->owner.value == 0) {
+  const RangeRecord* current = find(keys, expected_fence);
+  if (current == nullptr || current->moving || current->owner.value == 0) {
     return false;
   }
-  RangeRecord record = *present;
+  RangeRecord record = *current;
   record.keys = keys;
   record.moving = true;
   record.move_to = to;
@@ -99,13 +99,13 @@
   }
   const std::uint32_t first = record.keys.first;
   records_[first] = std::move(record);
-  join_neighbours(first);
+  merge_adjacent(first);
 }
 
-void KeyRangeMap::join_neighbours(std::uint32_t first) {
+void KeyRangeMap::merge_adjacent(std::uint32_t first) {
   auto record = records_.find(first);
   const auto next = std::next(record);
-  if (next != records_.end() && next->second.is_like(record->second)) {
+  if (next != records_.end() && next->second.has_same_ownership(record->second)) {
     record->second.keys.last = next->second.keys.last;
     records_.erase(next);
   }
@@ -113,7 +113,7 @@
     return;
   }
   const auto before = std::prev(record);
-  if (before->second.is_like(record->second)) {
+  if (before->second.has_same_ownership(record->second)) {
     before->second.keys.last = record->second.keys.last;
     records_.erase(record);
   }
--- a/src/ownership/key_ranges.hpp
+++ b/src/ownership/key_ranges.hpp
@@ -1,10 +1,11 @@
 #pragma once
-/// Who owns which keys of one service, as contiguous ranges. Deterministic replicated state.
+/// Ownership of the keys of one service, as contiguous ranges. Deterministic replicated state.
 ///
 /// Invariants:
 ///  - The ranges cover all keys and do not overlap: a key has one record and at most one owner.
-///  - The fence of a key is the index of the log entry that gave it to its owner; it only grows.
-///  - Neighbours that differ in nothing are one range.
+///  - The fence of a key is the index of the log entry that assigned it to its owner; it only
+///  grows.
+///  - Adjacent ranges that differ in their keys only are merged into one.
 
 #include <cstdint>
 #include <map>
@@ -20,7 +21,7 @@
 using common::Epoch;
 using common::LogIndex;
 
-/// Keys from `first` to `last`, both inside.
+/// Keys from `first` to `last`, inclusive.
 struct KeyRange {
   std::uint32_t first = 0;
   std::uint32_t last = config::kKeyCount - 1;
@@ -32,52 +33,59 @@
   bool overlaps(const KeyRange& other) const { return first <= other.last && other.first <= last; }
 };
 
+/// A range of keys and its owner.
 struct RangeRecord {
   KeyRange keys;
-  BackendId owner;  ///< 0: nobody
+  BackendId owner;  ///< 0: none
   Epoch fence;
-  /// The owner is to give the keys up: routers send it nothing more, and another owner follows once
-  /// it has released them or can hold them no longer.
+  /// The owner is asked to release the keys: routers send it no more requests, and another owner
+  /// follows once the keys are released or the owner's grant has certainly expired.
   bool moving = false;
-  BackendId move_to;      ///< the owner intended next; 0: none yet
-  LogIndex moving_since;  ///< entry from which routers send nothing more
-  std::string handover;   ///< what the owner before gave with its release; empty: nothing
+  BackendId move_to;      ///< the next owner; 0: not chosen yet
+  LogIndex moving_since;  ///< log entry that started the move
+  std::string handover;   ///< handover data of the previous owner's release; empty: none
   MSGPACK_DEFINE_ARRAY(keys, owner, fence, moving, move_to, moving_since, handover)
 
-  /// True where the two differ in their keys only.
-  bool is_like(const RangeRecord& other) const;
+  /// Returns true if the records differ in their keys only.
+  bool has_same_ownership(const RangeRecord& other) const;
 };
 
+/// The ranges of one service.
 class KeyRangeMap {
  public:
   KeyRangeMap() = default;
-  /// All keys without an owner, under `fence`.
+  /// Creates one range of all keys, without an owner, under `fence`.
   explicit KeyRangeMap(Epoch fence);
 
-  /// By the first key of each range.
+  /// Returns the records by the first key of each range.
   const std::map<std::uint32_t, RangeRecord>& records() const { return records_; }
-  /// The record that holds a key.
+  /// Returns the record of the range that contains the key.
   const RangeRecord& record_of(std::uint32_t key) const;
 
-  /// Begins to take `keys`, part of one range, from their owner.
-  /// @return false, and nothing changes, unless they are one owner's under `expected_fence`.
+  /// Marks `keys` as moving.
+  /// @return false without any change unless one range with the fence `expected_fence` contains
+  /// `keys`, has an owner and is not moving.
   bool begin_move(LogIndex index, const KeyRange& keys, Epoch expected_fence, BackendId to);
-  /// Gives `keys`, part of one range, to an owner (0: to nobody). As above.
+  /// Assigns `keys` to an owner (0: none).
+  /// @return false without any change unless one range with the fence `expected_fence` contains
+  /// `keys`.
   bool assign(LogIndex index, const KeyRange& keys, Epoch expected_fence, BackendId owner,
               std::string handover);
 
-  /// Makes one range of the ranges that fill `keys`, all of one owner and none moving.
-  /// @return false, and nothing changes, unless they are so.
+  /// Joins the ranges within `keys` into one range under a new fence.
+  /// @return false without any change unless `keys` covers whole ranges of `owner`, none of which
+  /// is moving.
   bool join(LogIndex index, const KeyRange& keys, BackendId owner);
 
   MSGPACK_DEFINE_ARRAY(records_)
 
  private:
-  /// The record that holds all of `keys` under this fence, or nullptr.
+  /// Returns the record with this fence that contains all of `keys`, or nullptr.
   const RangeRecord* find(const KeyRange& keys, Epoch fence) const;
-  /// Puts a record in place of what was there, and joins it with like neighbours.
+  /// Replaces the part of a range that has the record's keys, then merges adjacent ranges with the
+  /// same ownership.
   void put(RangeRecord record);
-  void join_neighbours(std::uint32_t first);
+  void merge_adjacent(std::uint32_t first);
 
   std::map<std::uint32_t, RangeRecord> records_;
 };
--- a/test/ownership/key_ranges_test.cpp
+++ b/test/ownership/key_ranges_test.cpp
@@ -8,7 +8,7 @@
 namespace planktray::ownership {
 namespace {
 
-/// What the ranges must say, kept key by key.
+/// Expected ownership, stored per key.
 struct Model {
   std::vector<std::uint64_t> owner = std::vector<std::uint64_t>(config::kKeyCount, 0);
   std::vector<std::uint64_t> fence = std::vector<std::uint64_t>(config::kKeyCount, 1);
@@ -30,7 +30,7 @@
   RC_ASSERT(next == config::kKeyCount);
 }
 
-TEST_CASE("ranges cover all keys once, whatever is moved and assigned") {
+TEST_CASE("ranges cover every key exactly once after any moves and assignments") {
   const bool held = rc::check([] {
     KeyRangeMap ranges(Epoch(1));
     Model model;
@@ -63,7 +63,7 @@
   CHECK(held);
 }
 
-TEST_CASE("a plan made from older ranges changes nothing") {
+TEST_CASE("a plan that expects an outdated fence changes nothing") {
   KeyRangeMap ranges(Epoch(1));
   REQUIRE(ranges.assign(LogIndex(2), KeyRange{0, 99}, Epoch(1), BackendId(7), ""));
   CHECK_FALSE(ranges.assign(LogIndex(3), KeyRange{0, 99}, Epoch(1), BackendId(8), ""));
@@ -73,33 +73,33 @@
   CHECK(ranges.record_of(100).owner == BackendId(0));
 }
 
-TEST_CASE("neighbours of one owner become one range under a new fence") {
+TEST_CASE("adjacent ranges of one owner are joined under a new fence") {
   KeyRangeMap ranges(Epoch(1));
   REQUIRE(ranges.assign(LogIndex(2), KeyRange{0, 99}, Epoch(1), BackendId(7), "a"));
   REQUIRE(ranges.assign(LogIndex(3), KeyRange{100, 199}, Epoch(1), BackendId(7), "b"));
   REQUIRE(ranges.assign(LogIndex(4), KeyRange{200, 299}, Epoch(1), BackendId(8), ""));
-  SUBCASE("as a whole") {
+  SUBCASE("whole ranges of one owner") {
     CHECK(ranges.join(LogIndex(5), KeyRange{0, 199}, BackendId(7)));
     CHECK(ranges.record_of(150).keys == KeyRange{0, 199});
     CHECK(ranges.record_of(150).fence == Epoch(5));
     CHECK(ranges.record_of(150).handover.empty());
     CHECK(ranges.record_of(200).fence == Epoch(4));
   }
-  SUBCASE("but not with another owner's, nor cut anywhere") {
+  SUBCASE("not with ranges of another owner, and not parts of ranges") {
     CHECK_FALSE(ranges.join(LogIndex(5), KeyRange{0, 299}, BackendId(7)));
     CHECK_FALSE(ranges.join(LogIndex(5), KeyRange{0, 150}, BackendId(7)));
     CHECK_FALSE(ranges.join(LogIndex(5), KeyRange{50, 199}, BackendId(7)));
     CHECK_FALSE(ranges.join(LogIndex(5), KeyRange{0, 199}, BackendId(8)));
     CHECK(ranges.record_of(150).fence == Epoch(3));
   }
-  SUBCASE("but not while one of them is moving") {
+  SUBCASE("not while one of them is moving") {
     REQUIRE(ranges.begin_move(LogIndex(5), KeyRange{100, 199}, Epoch(3), BackendId(8)));
     CHECK_FALSE(ranges.join(LogIndex(6), KeyRange{0, 199}, BackendId(7)));
     CHECK(ranges.record_of(50).fence == Epoch(2));
   }
 }
 
-TEST_CASE("keys outside the space are refused") {
+TEST_CASE("invalid key ranges are rejected") {
   KeyRangeMap ranges(Epoch(1));
   CHECK_FALSE(
       ranges.assign(LogIndex(2), KeyRange{0, config::kKeyCount}, Epoch(1), BackendId(7), ""));
