--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -11,7 +11,7 @@
 void LeaseManager::begin_term(TimePoint now, common::Term term, const CellState& state) {
   active_ = true;
   term_ = term;
-  earliest_loss_ = now + longest_grant();
+  earliest_loss_ = now + max_remaining_lease();
   sessions_.clear();
   synced_ = LogIndex();
   next_contact_ = now;
@@ -20,7 +20,7 @@
   sync_sessions(now, state);
 }
 
-Duration LeaseManager::longest_grant() const {
+Duration LeaseManager::max_remaining_lease() const {
   return options_.wait_after_election ? options_.time_to_live + options_.margin : Duration(0);
 }
 
@@ -35,7 +35,7 @@
     if (backend.has_contract(OwnershipContract::kHolderClockLease) && !sessions_.contains(id)) {
       Session session;
       session.next_renewal = now;
-      session.owner_until = std::max(earliest_loss_, now + longest_grant());
+      session.owner_until = std::max(earliest_loss_, now + max_remaining_lease());
       sessions_[id] = std::move(session);
     }
   }
@@ -52,7 +52,7 @@
   contact_new_machines(now, state, machines, leases);
   for (auto& [id, session] : sessions_) {
     const BackendRecord& backend = *state.find_backend(id);
-    if (session.gone || session.given_up) {
+    if (session.replaced || session.loss_proposed) {
       continue;
     }
     if (now >= session.next_renewal) {
@@ -73,7 +73,7 @@
   next_contact_ = now + options_.contact_interval;
   std::set<common::MachineName> registered;
   for (const auto& [id, session] : sessions_) {
-    if (!session.gone) {
+    if (!session.replaced) {
       registered.insert(state.find_backend(id)->machine);
     }
   }
@@ -130,7 +130,7 @@
   }
   for (auto& [id, shards] : wanted) {
     const auto found = sessions_.find(id);
-    if (found == sessions_.end() || found->second.gone ||
+    if (found == sessions_.end() || found->second.replaced ||
         (found->second.release_due.has_value() && now < *found->second.release_due)) {
       continue;
     }
@@ -163,21 +163,21 @@
   }
   Session& session = found->second;
   if (reply.status == LeaseStatus::kWrongIncarnation) {
-    session.gone = true;
+    session.replaced = true;
     if (!reply.incarnation.value.empty()) {
       new_incarnations_.push_back({machine, reply.incarnation});
     }
     return;
   }
   if (!session.acknowledged_at.has_value() || reply.clock_us > session.acknowledged_clock_us) {
-    const bool first = !session.acknowledged_at.has_value();
+    const bool is_first = !session.acknowledged_at.has_value();
     session.unanswered = 0;
     session.acknowledged_at = now;
     session.acknowledged_clock_us = reply.clock_us;
     session.held_digest = reply.grants_digest;
     session.state = reply.state;
-    if (first || reply.status == LeaseStatus::kGrantsNeeded) {
-      session.next_renewal = now;  // there is no lease yet, or it was not extended
+    if (is_first || reply.status == LeaseStatus::kGrantsNeeded) {
+      session.next_renewal = now;  // there is no lease yet, or this reply did not extend it
     }
   }
 }
@@ -207,8 +207,9 @@
     return ids;
   }
   for (const auto& [id, session] : sessions_) {
-    const bool silent = session.gone || session.unanswered >= options_.minimum_unanswered;
-    if (silent && now >= session.owner_until) {
+    const bool is_unresponsive =
+        session.replaced || session.unanswered >= options_.minimum_unanswered;
+    if (is_unresponsive && now >= session.owner_until) {
       ids.push_back(id);
     }
   }
@@ -219,7 +220,7 @@
   for (const BackendId id : backends) {
     const auto found = sessions_.find(id);
     if (found != sessions_.end()) {
-      found->second.given_up = true;
+      found->second.loss_proposed = true;
     }
   }
 }
--- a/src/ownership/lease_manager.hpp
+++ b/src/ownership/lease_manager.hpp
@@ -3,11 +3,11 @@
 /// holder's clock).
 ///
 /// Invariants:
-///  - A renewal expires at (clock in an acknowledgement) + ttl, read on the holder's clock, so a
-///    renewal that is delivered late never stretches a lease.
+///  - A renewal expires at (clock in an acknowledgement) + ttl on the holder's clock, so a renewal
+///    that is delivered late never extends a lease.
 ///  - `owner_until` of a session is never before the true end of the lease: receipt of the
-///    acknowledgement used + ttl + margin on this clock, or election + ttl + margin for whatever an
-///    earlier leader may have granted.
+///    acknowledgement that the renewal is based on + ttl + margin on the leader's clock, or
+///    election + ttl + margin for leases of earlier leaders.
 
 #include <map>
 #include <optional>
@@ -28,53 +28,56 @@
 struct LeaseOptions {
   Duration renewal_interval = std::chrono::milliseconds(80);
   Duration time_to_live = std::chrono::milliseconds(500);
-  /// Covers clock rate drift between leader and holder over one ttl.
+  /// Covers the clock drift between leader and holder over one ttl.
   Duration margin = std::chrono::milliseconds(20);
-  /// A machine without a session is asked for one this often.
+  /// Interval of first requests to machines without a session.
   Duration contact_interval = std::chrono::milliseconds(250);
-  /// How long a holder may wait for running work before it answers a release.
+  /// How long a holder may wait for running requests before it replies to a release.
   Duration release_wait = std::chrono::milliseconds(2000);
-  /// A release without an answer is repeated after this time on top of release_wait.
+  /// A release without a reply is repeated after this time plus release_wait.
   Duration release_retry = std::chrono::milliseconds(100);
-  /// A back end is lost only after this many renewals without an answer, so that a stall of the
-  /// leader itself moves no shard.
+  /// A back end is lost only after this many consecutive renewals without a reply, so that a stall
+  /// of the leader itself moves no shards.
   int minimum_unanswered = 3;
-  /// Safeguard: a new leader waits out what earlier leaders may have granted. Off only in mutants.
+  /// Safeguard: a new leader waits until leases of earlier leaders have expired. Off only in
+  /// mutants.
   bool wait_after_election = true;
 };
 
-/// A lease request on its way to one machine.
+/// A lease request to be sent to a machine.
 struct OutgoingLease {
   common::MachineName machine;
   std::string address;
-  BackendId backend;  ///< 0: first contact
+  BackendId backend;  ///< 0: the machine has no session yet
   LeaseRequest request;
 };
 
+/// A release request to be sent to a back end.
 struct OutgoingRelease {
   std::string address;
   BackendId backend;
   ReleaseRequest request;
 };
 
-/// A machine answered as an incarnation that is not registered.
+/// An incarnation that replied from a machine and is not registered.
 struct NewIncarnation {
   common::MachineName machine;
   common::Incarnation incarnation;
 };
 
+/// Keeps the lease sessions of all back ends that hold leases.
 class LeaseManager {
  public:
   LeaseManager(common::CellName cell, LeaseOptions options);
 
-  /// Starts over as the leader of `term`.
+  /// Starts new sessions as the leader of `term`.
   void begin_term(TimePoint now, common::Term term, const CellState& state);
   void end_term() { active_ = false; }
 
-  /// Makes the messages that are due. Call only while the leader lease holds.
+  /// Appends the messages that are due. Call only while the leader lease is valid.
   void collect(TimePoint now, const CellState& state, const membership::MachineList& machines,
                std::vector<OutgoingLease>& leases, std::vector<OutgoingRelease>& releases);
-  /// Renews a back end at once, because what it holds has changed.
+  /// Makes the renewal of a back end due immediately, because its grants have changed.
   void renew_now(BackendId backend);
 
   void on_lease_reply(TimePoint now, const common::MachineName& machine, BackendId backend,
@@ -82,18 +85,19 @@
   void on_release_reply(BackendId backend, const ReleaseReply& reply);
   void on_release_failure(BackendId backend);
 
-  /// Back ends whose lease has ended for certain and that do not answer.
+  /// Returns back ends that do not reply and whose lease has certainly expired.
   std::vector<BackendId> lost(TimePoint now) const;
-  /// The loss of these back ends is on its way into the log: their sessions end here and now. A
-  /// renewal after this point would outlive the assignment that takes their shards away.
+  /// Ends the sessions of back ends whose loss has been proposed to the log. A later renewal would
+  /// outlive the assignment of their shards to other owners.
   void end_sessions(const std::vector<BackendId>& backends);
-  /// Shards that their owner has released; they may be assigned anew.
+  /// Returns the shards that their owners have released; they may be reassigned.
   const std::set<HeldShard>& released() const { return released_; }
   void forget_released(const HeldShard& shard) { released_.erase(shard); }
-  /// Incarnations that wait for registration; cleared by the call.
+  /// Returns and clears the incarnations to be registered.
   std::vector<NewIncarnation> take_new_incarnations();
-  /// What the back end last said of itself; kCold before its first answer.
+  /// Returns the state that the back end last reported; kCold before its first reply.
   BackendState backend_state(BackendId backend) const;
+  /// Returns the time of the last acknowledgement that had a newer clock than all before.
   std::optional<TimePoint> last_answer(BackendId backend) const;
   std::size_t sessions() const { return sessions_.size(); }
 
@@ -105,15 +109,15 @@
     std::int64_t acknowledged_clock_us = 0;
     std::string held_digest;
     GrantSet grants;
-    bool gone = false;      ///< the incarnation answered no more at its address
-    bool given_up = false;  ///< its loss has been proposed; never renewed again in this term
-    int unanswered = 0;     ///< renewals sent since the last answer
+    bool replaced = false;       ///< another incarnation has replied at the address
+    bool loss_proposed = false;  ///< never renewed again in this term
+    int unanswered = 0;          ///< renewals sent since the last reply
     BackendState state = BackendState::kCold;
     std::optional<TimePoint> release_due;
   };
 
-  /// How long a grant by another leader may still hold.
-  Duration longest_grant() const;
+  /// Returns how long a lease granted by an earlier leader may still be valid.
+  Duration max_remaining_lease() const;
   void sync_sessions(TimePoint now, const CellState& state);
   void contact_new_machines(TimePoint now, const CellState& state,
                             const membership::MachineList& machines,
@@ -124,7 +128,7 @@
 
   common::CellName cell_;
   LeaseOptions options_;
-  LogIndex synced_;  ///< state that the sessions were made for
+  LogIndex synced_;  ///< applied index of the state that the sessions are based on
   bool active_ = false;
   common::Term term_;
   TimePoint earliest_loss_;
--- a/test/ownership/lease_manager_test.cpp
+++ b/test/ownership/lease_manager_test.cpp
@@ -12,7 +12,7 @@
 
 TimePoint at(std::int64_t value) { return common::from_microseconds(value * 1000); }
 
-/// One registered back end under a fresh leader.
+/// One registered back end and a newly elected leader.
 struct Fixture {
   CellState state;
   membership::MachineList machines;
@@ -41,14 +41,14 @@
   }
 };
 
-TEST_CASE("no lease before the holder's clock is known") {
+TEST_CASE("no lease is granted before the holder's clock is known") {
   Fixture fixture;
   const auto leases = fixture.collect(at(1));
   REQUIRE(leases.size() == 1);
   CHECK(leases[0].request.expires_clock_us == 0);
 }
 
-TEST_CASE("a renewal ends at the acknowledged clock plus the time to live, however late it is") {
+TEST_CASE("a renewal expires at the acknowledged clock plus the time to live, even if it is late") {
   Fixture fixture;
   fixture.collect(at(1));
   fixture.answer(at(2), 7'000'000);
@@ -65,7 +65,7 @@
   CHECK(fixture.collect(at(100))[0].request.expires_clock_us == 7'500'000);
 }
 
-TEST_CASE("a new leader revokes nothing before older grants have ended") {
+TEST_CASE("a new leader reports no losses before leases of earlier leaders have expired") {
   Fixture fixture;
   for (int i = 0; i < 10; ++i) {
     fixture.collect(at(80 * i));
@@ -74,7 +74,7 @@
   CHECK(fixture.manager.lost(at(521)).size() == 1);
 }
 
-TEST_CASE("a silent back end is lost only after its lease and the margin") {
+TEST_CASE("an unresponsive back end is lost only after its lease and the margin") {
   Fixture fixture;
   fixture.collect(at(1));
   fixture.answer(at(1000), 7'000'000);
@@ -85,12 +85,12 @@
   CHECK(fixture.manager.lost(at(1521)).size() == 1);
 }
 
-TEST_CASE("a stall of the leader itself moves no shard") {
+TEST_CASE("a stall of the leader itself loses no back end") {
   Fixture fixture;
   fixture.collect(at(1));
   fixture.answer(at(2), 7'000'000);
   fixture.collect(at(80));
-  // The leader was stopped for ten seconds; only one renewal has gone without an answer.
+  // The leader stalled for ten seconds, and only one renewal has no reply.
   CHECK(fixture.manager.lost(at(10'000)).empty());
 }
 
@@ -106,7 +106,7 @@
   CHECK(fixture.collect(at(900)).empty());
 }
 
-TEST_CASE("another incarnation at the address is reported, and the old one still waited out") {
+TEST_CASE("another incarnation at the address is reported, and the old lease still has to expire") {
   Fixture fixture;
   fixture.collect(at(1));
   fixture.answer(at(2), 7'000'000);
