--- a/src/ownership/cell_state.cpp
+++ b/src/ownership/cell_state.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t kDigestSeed = 0x6772616e74;
 
-/// Encoded form of the whole state.
+/// Encoded form of the whole state. The names of its fields are part of the stored format.
 struct SnapshotForm {
   LogIndex applied;
   std::map<std::string, DeclarationRecord> templates;
@@ -55,11 +55,11 @@
   std::visit([&](const auto& alternative) { apply_command(index, alternative, result); },
              command.value);
   applied_ = index;
-  // What back ends say of themselves changes no owner; under churn it is most of the log.
-  const bool is_about_backends = std::holds_alternative<RegisterBackend>(command.value) ||
+  // Reports of back ends about themselves change no owner. Under churn they are most of the log.
+  const bool is_backend_report = std::holds_alternative<RegisterBackend>(command.value) ||
                                  std::holds_alternative<MarkLeaving>(command.value) ||
                                  std::holds_alternative<SetWarmth>(command.value);
-  if (!is_about_backends) {
+  if (!is_backend_report) {
     ownership_changed_ = index;
   }
   return result;
@@ -84,7 +84,7 @@
 void CellState::apply_command(LogIndex index, const RegisterBackend& command, ApplyResult& result) {
   const BackendRecord* known = find_incarnation(command.incarnation);
   if (known != nullptr && known->machine == command.machine) {
-    // An earlier registration was still under way when this one was made.
+    // An earlier registration was still in flight when this one was proposed.
     if (command.leaving && !known->leaving) {
       apply_command(index, MarkLeaving{known->id, true}, result);
     }
@@ -107,7 +107,7 @@
   record.leaving = command.leaving;
   result.delta.backends.push_back(backend_route(record));
   if (record.has_fenced_grants()) {
-    end_others_at(record, result);
+    end_predecessors(record, result);
   }
   incarnations_[record.incarnation] = record.id;
   backends_[record.id] = std::move(record);
@@ -131,7 +131,7 @@
   if (command.departed && !command.incarnation.value.empty()) {
     remember_departure(command.incarnation);
   }
-  // Its registration may have been under way when it said goodbye.
+  // Its registration may have been in flight when it deregistered.
   const BackendRecord* named = find_incarnation(command.incarnation);
   const auto found = backends_.find(named == nullptr ? command.backend : named->id);
   if (found == backends_.end()) {
@@ -164,7 +164,7 @@
     return;
   }
   for (auto& [id, backend] : backends_) {
-    // Routers conclude the same from the zone's change.
+    // Routers derive the same from the change of the zone.
     backend.cold = backend.cold || (backend.has_fenced_grants() && backend.zone == command.zone);
   }
 }
--- a/src/ownership/cell_state.hpp
+++ b/src/ownership/cell_state.hpp
@@ -1,11 +1,11 @@
 #pragma once
-/// The replicated state of a cell: declarations, back ends, and who owns each shard.
+/// The replicated state of a cell: declarations, back ends, and the owners of shards and keys.
 /// Deterministic: the same commands at the same indexes give the same state on every replica.
 ///
 /// Invariants:
-///  - A shard has at most one owner; its epoch is the index of the entry that made the assignment
-///    and only grows.
-///  - Revisions of a name only grow, also across withdrawal.
+///  - A shard has at most one owner; its epoch is the index of the log entry of the assignment and
+///    only grows.
+///  - Revisions of a name only grow, even if the declaration is withdrawn and declared again.
 
 #include <deque>
 #include <map>
@@ -21,15 +21,17 @@
 
 namespace planktray::ownership {
 
+/// The current revision of a template or tenant.
 struct DeclarationRecord {
   common::Revision revision;
   bool withdrawn = false;
-  common::ChangeId change_id;  ///< the change that made this revision
+  common::ChangeId change_id;  ///< the change that created this revision
   LogIndex index;
   std::string document;
   MSGPACK_DEFINE_ARRAY(revision, withdrawn, change_id, index, document)
 };
 
+/// A registered incarnation of a back end.
 struct BackendRecord {
   BackendId id;
   common::MachineName machine;
@@ -40,10 +42,10 @@
   bool leaving = false;
   LogIndex grants_index;      ///< index at which its set of shards last changed
   std::uint8_t contract = 0;  ///< an OwnershipContract
-  std::uint32_t slots = 0;    ///< requests it runs at once; 0: as its service says
-  bool cold = false;          ///< it is slow, and bears few requests a second
-  bool departed = false;      ///< it has said goodbye
-  bool ended = false;         ///< its process has ended for certain: its address has another
+  std::uint32_t slots = 0;    ///< concurrent requests; 0: the service's default
+  bool cold = false;          ///< not warmed up: slow, with capacity for few requests per second
+  bool departed = false;      ///< it has deregistered
+  bool ended = false;         ///< its process has ended: another incarnation has its address
   std::set<common::ShardRef> shards;  ///< derived from the services, not encoded
   MSGPACK_DEFINE_ARRAY(id, machine, address, zone, pool, incarnation, leaving, grants_index,
                        contract, slots, cold, departed, ended)
@@ -51,41 +53,44 @@
   bool has_contract(OwnershipContract wanted) const {
     return contract == static_cast<std::uint8_t>(wanted);
   }
-  /// True where it registered itself and holds key ranges by fenced grants, whoever carries them.
+  /// Returns true for a back end that registered itself and holds key ranges by fenced grants,
+  /// whether they are sent as orders or in responses to heartbeats.
   bool has_fenced_grants() const {
     return has_contract(OwnershipContract::kFencedGrant) ||
            has_contract(OwnershipContract::kReportedGrant);
   }
 };
 
+/// The ownership of a shard.
 struct ShardRecord {
-  BackendId owner;  ///< 0: nobody
+  BackendId owner;  ///< 0: none
   Epoch epoch;
   bool moving = false;
-  BackendId move_to;
+  BackendId move_to;  ///< the next owner; 0: release only
   MSGPACK_DEFINE_ARRAY(owner, epoch, moving, move_to)
 };
 
+/// A service of a tenant.
 struct ServiceRecord {
   ServiceId id;
   config::ServiceConfig config;
-  bool retired = false;  ///< its tenant is withdrawn; shards are still being released
+  bool retired = false;  ///< no longer declared; its shards are still being released
   std::vector<BackendId> targets;
   std::vector<ShardRecord> shards;
   MSGPACK_DEFINE_ARRAY(id, config, retired, targets, shards)
 };
 
-/// A service of the route configuration, and who owns its keys. It stays after the configuration
-/// has dropped it, so that fences go on where they were when it comes back.
+/// A service of the route configuration and the ownership of its keys. The record is kept after the
+/// service is removed from the configuration, so that its fences keep growing if it is added again.
 struct RoutedServiceRecord {
   ServiceId id;
   config::RoutedService config;
   bool retired = false;
-  KeyRangeMap ranges;  ///< empty unless keyed
+  KeyRangeMap ranges;  ///< empty if the service is not keyed
   MSGPACK_DEFINE_ARRAY(id, config, retired, ranges)
 };
 
-/// A run of consecutive shards that a back end holds under one epoch.
+/// Consecutive shards that a back end holds under one epoch.
 struct Grant {
   common::ServiceKey service;
   ShardNumber first;
@@ -94,23 +99,25 @@
   bool operator==(const Grant&) const = default;
 };
 
-/// All that one back end holds, as it is granted.
+/// All shards granted to a back end.
 struct GrantSet {
   LogIndex index;
   std::string digest;
   std::vector<Grant> grants;
 };
 
+/// Effects of a command beyond the state itself.
 struct ApplyResult {
   std::optional<ChangeAnswer> answer;  ///< for ChangeDeclaration and ChangeRoutes
-  routing::TableDelta delta;
+  routing::TableDelta delta;           ///< change of the routing table
 };
 
+/// The state machine to which the entries of the log are applied.
 class CellState {
  public:
   /// Applies the command at `index`; indexes must grow.
   ApplyResult apply(LogIndex index, const Command& command);
-  /// Notes an entry that holds no command.
+  /// Advances the applied index past a log entry without a command.
   void skip(LogIndex index) { applied_ = index; }
 
   std::string encode_snapshot() const;
@@ -118,22 +125,23 @@
   static common::Result<CellState> decode_snapshot(const std::string& bytes);
 
   LogIndex applied() const { return applied_; }
-  /// The last entry that may have changed which keys back ends own, or the terms of their grants.
+  /// Returns the index of the last entry that may have changed the owners of keys or the grant
+  /// terms.
   LogIndex ownership_changed() const { return ownership_changed_; }
   const std::map<BackendId, BackendRecord>& backends() const { return backends_; }
   const std::map<ServiceId, ServiceRecord>& services() const { return services_; }
   const std::map<std::string, DeclarationRecord>& declarations(DeclarationKind kind) const;
   const BackendRecord* find_backend(BackendId id) const;
   const ServiceRecord* find_service(const common::ServiceKey& key) const;
-  /// True where the back end must get no new work.
+  /// Returns true if the back end must receive no new requests.
   bool is_draining(const BackendRecord& backend) const;
-  /// Shards whose planned move is under way.
+  /// Returns the shards with a planned move in progress.
   const std::set<common::ShardRef>& moving() const { return moving_; }
-  /// @return the shard, or nullptr.
+  /// Returns the shard, or nullptr.
   const ShardRecord* find_shard(const common::ShardRef& ref) const;
   const std::set<common::MachineName>& drained_machines() const { return drained_; }
   const std::set<common::ZoneName>& evacuated_zones() const { return evacuated_zones_; }
-  /// True where requests are kept off the back end's zone.
+  /// Returns true if the back end's zone is evacuated.
   bool is_evacuated(const BackendRecord& backend) const {
     return evacuated_zones_.contains(backend.zone);
   }
@@ -142,18 +150,19 @@
   const std::map<ServiceId, RoutedServiceRecord>& routed_services() const {
     return routed_services_;
   }
-  /// @return the range of exactly these keys under this fence, or nullptr.
+  /// Returns the range with exactly these keys and this fence, or nullptr.
   const RangeRecord* find_range(ServiceId service, const KeyRange& keys, Epoch fence) const;
-  /// @return the service of the route configuration, or nullptr.
+  /// Returns the service of the route configuration, or nullptr.
   const RoutedServiceRecord* find_routed_service(const std::string& name) const;
-  /// @return the back end that was registered last as this incarnation, or nullptr.
+  /// Returns the back end last registered with this incarnation, or nullptr.
   const BackendRecord* find_incarnation(const common::Incarnation& incarnation) const;
-  /// True where it is the owner of any key, moving or not.
+  /// Returns true if the back end owns any keys, including keys that are moving.
   bool owns_keys(BackendId id) const;
-  /// True where this incarnation has said goodbye.
+  /// Returns true if this incarnation must not be registered (again): it has deregistered, or was
+  /// removed after it left or ended.
   bool has_departed(const common::Incarnation& incarnation) const;
   GrantSet grants_of(BackendId id) const;
-  /// The whole routing table.
+  /// Returns the whole routing table.
   routing::TableDelta table_snapshot() const;
 
  private:
@@ -169,7 +178,8 @@
   void apply_command(LogIndex index, const SetWarmth& command, ApplyResult& result);
   void set_warmth(BackendId id, bool cold, ApplyResult& result);
 
-  ChangeAnswer judge(LogIndex index, const ChangeDeclaration& change) const;
+  /// Returns the result of a change without applying it.
+  ChangeAnswer evaluate_change(LogIndex index, const ChangeDeclaration& change) const;
   common::Result<void> validate(const ChangeDeclaration& change) const;
   common::Result<void> validate_template(const config::Template& declaration) const;
   common::Result<void> validate_tenant(const config::Tenant& tenant,
@@ -191,7 +201,8 @@
   void put_routed_service(LogIndex index, const config::RoutedService& service,
                           ApplyResult& result);
   bool erase_backend(BackendId id);
-  void end_others_at(const BackendRecord& newcomer, ApplyResult& result);
+  /// Marks other back ends with the address of a newly registered one as ended.
+  void end_predecessors(const BackendRecord& successor, ApplyResult& result);
   void remember_departure(const common::Incarnation& incarnation);
   void add_routes_snapshot(routing::TableDelta& table) const;
 
@@ -217,12 +228,12 @@
 
   GrantTerms grant_terms_;
   config::RouteConfiguration routes_;
-  /// Digest of every change that was taken, by its version: kept for good, so that any resend is
+  /// Digests of all accepted changes by version. Never pruned, so that a resend of any of them is
   /// acknowledged again.
   std::map<std::uint64_t, std::uint64_t> taken_changes_;
   std::map<ServiceId, RoutedServiceRecord> routed_services_;
   std::map<std::string, ServiceId> routed_ids_;
-  std::deque<common::Incarnation> departed_;  ///< the oldest first
+  std::deque<common::Incarnation> departed_;  ///< oldest first
   std::set<common::Incarnation> departed_set_;
 };
 
--- a/src/ownership/cell_state_declarations.cpp
+++ b/src/ownership/cell_state_declarations.cpp
@@ -1,4 +1,5 @@
-/// Declarations of CellState: judging changes, remembering answers, making services of tenants.
+/// Declarations of CellState: evaluating changes, remembering results, expanding tenants to
+/// services.
 
 #include <algorithm>
 #include <utility>
@@ -8,10 +9,11 @@
 namespace planktray::ownership {
 namespace {
 
-/// Answers kept for resends: about two days at the design size of 4,600 changes a day.
+/// Results kept for resends: about two days at the design limit of 4,600 changes per day.
 constexpr std::size_t kRememberedAnswers = 10'000;
 
-bool keeps_shards(const config::ServiceTemplate& before, const config::ServiceTemplate& after) {
+bool has_same_sharding(const config::ServiceTemplate& before,
+                       const config::ServiceTemplate& after) {
   return before.keyed == after.keyed && before.shards == after.shards &&
          before.hash_seed == after.hash_seed;
 }
@@ -30,7 +32,7 @@
     result.answer = earlier->second;
     return;
   }
-  const ChangeAnswer answer = judge(index, change);
+  const ChangeAnswer answer = evaluate_change(index, change);
   result.answer = answer;
   remember_answer(change.change_id, answer);
   if (answer.change_status() != ChangeStatus::kAccepted) {
@@ -51,27 +53,27 @@
   }
 }
 
-ChangeAnswer CellState::judge(LogIndex index, const ChangeDeclaration& change) const {
+ChangeAnswer CellState::evaluate_change(LogIndex index, const ChangeDeclaration& change) const {
   ChangeAnswer answer;
   answer.index = index;
   const auto& records = declarations(static_cast<DeclarationKind>(change.kind));
   const auto found = records.find(change.name);
-  const common::Revision present =
+  const common::Revision current =
       found == records.end() ? common::Revision() : found->second.revision;
-  if (change.replaces != present) {
+  if (change.replaces != current) {
     answer.status = static_cast<std::uint8_t>(ChangeStatus::kConflict);
-    answer.revision = present;
+    answer.revision = current;
     answer.winner = found == records.end() ? common::ChangeId() : found->second.change_id;
-    answer.message = change.name + " is at revision " + std::to_string(present.value);
+    answer.message = change.name + " is at revision " + std::to_string(current.value);
     return answer;
   }
   if (auto valid = validate(change); !valid) {
     answer.status = static_cast<std::uint8_t>(ChangeStatus::kInvalid);
-    answer.revision = present;
+    answer.revision = current;
     answer.message = valid.error().message;
     return answer;
   }
-  answer.revision = common::Revision(present.value + 1);
+  answer.revision = common::Revision(current.value + 1);
   return answer;
 }
 
@@ -141,7 +143,8 @@
   }
   for (const config::ServiceConfig& service : *services) {
     const ServiceRecord* existing = find_service(service.key);
-    if (existing != nullptr && !keeps_shards(existing->config.parameters, service.parameters)) {
+    if (existing != nullptr &&
+        !has_same_sharding(existing->config.parameters, service.parameters)) {
       return common::fail(common::ErrorCode::kInvalid, "accept change", "",
                           "service " + service.key.service.value +
                               " cannot change keyed, shards or hash_seed while it exists");
--- a/src/ownership/cell_state_routes.cpp
+++ b/src/ownership/cell_state_routes.cpp
@@ -7,10 +7,11 @@
 namespace planktray::ownership {
 namespace {
 
-/// Goodbyes that are remembered, so that a late word of a departed back end does not bring it back.
+/// Departed incarnations that are remembered, so that a late heartbeat does not register them
+/// again.
 constexpr std::size_t kRememberedDepartures = 4096;
 
-/// Routers need no source text.
+/// Routers do not need the source document.
 config::Route without_document(config::Route route) {
   route.document.clear();
   return route;
@@ -65,7 +66,7 @@
   }
   const bool has_left = found->second.leaving && found->second.has_fenced_grants();
   if (found->second.ended || has_left) {
-    // A heartbeat that comes late must not bring it back.
+    // A late heartbeat must not register it again.
     remember_departure(found->second.incarnation);
   }
   backends_.erase(found);
@@ -87,10 +88,10 @@
   }
 }
 
-void CellState::end_others_at(const BackendRecord& newcomer, ApplyResult& result) {
+void CellState::end_predecessors(const BackendRecord& successor, ApplyResult& result) {
   for (auto& [id, backend] : backends_) {
     const bool replaced =
-        id != newcomer.id && backend.address == newcomer.address && backend.has_fenced_grants();
+        id != successor.id && backend.address == successor.address && backend.has_fenced_grants();
     if (replaced) {
       backend.ended = true;
       backend.leaving = true;
@@ -104,14 +105,14 @@
   ChangeAnswer answer;
   answer.index = index;
   answer.revision = common::Revision(routes_.version);
-  const auto taken = taken_changes_.find(change.version);
-  if (taken != taken_changes_.end() && taken->second == change.digest) {
-    result.answer = answer;  // the same change again
+  const auto accepted = taken_changes_.find(change.version);
+  if (accepted != taken_changes_.end() && accepted->second == change.digest) {
+    result.answer = answer;  // a resend of an accepted change
     return;
   }
   if (change.base_version != routes_.version) {
     answer.status = static_cast<std::uint8_t>(ChangeStatus::kConflict);
-    answer.message = "the present version is " + std::to_string(routes_.version);
+    answer.message = "the current version is " + std::to_string(routes_.version);
     result.answer = answer;
     return;
   }
@@ -136,8 +137,8 @@
     }
   }
   for (const auto& [name, route] : next.routes) {
-    const auto present = routes_.routes.find(name);
-    if (present == routes_.routes.end() || present->second != route) {
+    const auto current = routes_.routes.find(name);
+    if (current == routes_.routes.end() || current->second != route) {
       delta.routes.push_back(without_document(route));
     }
   }
@@ -203,7 +204,7 @@
   for (const RangeJoin& join : plan.joins) {
     const auto service = routed_services_.find(join.service);
     if (service != routed_services_.end()) {
-      service->second.ranges.join(index, join.keys, join.owner);  // no change for routers
+      service->second.ranges.join(index, join.keys, join.owner);  // routers see the same owner
     }
   }
   for (const BackendId id : plan.removed) {
--- a/test/ownership/cell_state_test.cpp
+++ b/test/ownership/cell_state_test.cpp
@@ -33,7 +33,7 @@
   }
 };
 
-TEST_CASE("first to commit wins, and the other sees the winner") {
+TEST_CASE("the change committed first wins, and the other gets a conflict that names it") {
   Fixture fixture;
   const auto first = fixture.change(DeclarationKind::kTenant, "a", 1, "c3", kTenant);
   const auto second = fixture.change(DeclarationKind::kTenant, "a", 1, "c4", kTenant);
@@ -43,7 +43,7 @@
   CHECK(second.revision == common::Revision(2));
 }
 
-TEST_CASE("a resend gets the first answer, also after a snapshot") {
+TEST_CASE("a resend gets the result of the first change, even after a snapshot") {
   Fixture fixture;
   const auto first = fixture.change(DeclarationKind::kTenant, "a", 1, "c3", kTenant);
   auto restored = CellState::decode_snapshot(fixture.state.encode_snapshot());
@@ -55,7 +55,7 @@
   CHECK(again.index == first.index);
 }
 
-TEST_CASE("revisions of a withdrawn tenant are never used again") {
+TEST_CASE("revisions of a withdrawn tenant are never reused") {
   Fixture fixture;
   CHECK(fixture.change(DeclarationKind::kTenant, "a", 1, "c3", "").revision == common::Revision(2));
   CHECK(fixture.change(DeclarationKind::kTenant, "a", 0, "c4", kTenant).change_status() ==
@@ -86,14 +86,14 @@
   fixture.apply(plan);
   const Epoch epoch(fixture.index);
   CHECK(fixture.state.find_shard({service, ShardNumber(0)})->epoch == epoch);
-  fixture.apply(plan);  // expects the first epoch, which is gone
+  fixture.apply(plan);  // expects the first epoch, which is outdated
   CHECK(fixture.state.find_shard({service, ShardNumber(0)})->epoch == epoch);
   const GrantSet grants = fixture.state.grants_of(backend);
   REQUIRE(grants.grants.size() == 1);
   CHECK(grants.grants[0].epoch == epoch);
 }
 
-TEST_CASE("a snapshot is the same state") {
+TEST_CASE("a decoded snapshot is the same state") {
   Fixture fixture;
   const std::string bytes = fixture.state.encode_snapshot();
   const auto restored = CellState::decode_snapshot(bytes);
@@ -103,7 +103,7 @@
   CHECK_FALSE(CellState::decode_snapshot(bytes.substr(0, bytes.size() / 2)).has_value());
 }
 
-TEST_CASE("a late heartbeat of a back end that has ended does not end the one after it") {
+TEST_CASE("a late heartbeat of a back end that has ended does not end its successor") {
   Fixture fixture;
   const auto register_at = [&](const std::string& incarnation) {
     RegisterBackend registration;
@@ -125,14 +125,14 @@
   auto restored = CellState::decode_snapshot(fixture.state.encode_snapshot());
   REQUIRE(restored.has_value());
   fixture.state = std::move(*restored);
-  register_at("first");  // its heartbeat was held up by a cut
+  register_at("first");  // a network partition has delayed its heartbeat
   CHECK(fixture.state.find_incarnation(common::Incarnation("first")) == nullptr);
   const BackendRecord* second = fixture.state.find_incarnation(common::Incarnation("second"));
   REQUIRE(second != nullptr);
   CHECK_FALSE(second->ended);
 }
 
-/// A back end that holds fenced grants, in a zone.
+/// Registers a back end with fenced grants in a zone.
 BackendId register_in(Fixture& fixture, const std::string& name, const std::string& zone,
                       bool cold = false) {
   RegisterBackend registration;
@@ -147,11 +147,11 @@
   return BackendId(fixture.index);
 }
 
-/// The table of a router that has followed every change.
-struct Follower {
+/// A router's table that applies every delta.
+struct RouterTable {
   routing::RoutingTable table;
 
-  void follow(const routing::TableDelta& delta) {
+  void apply(const routing::TableDelta& delta) {
     routing::TableUpdate update;
     update.base_index = delta.from;
     update.current_index = delta.to;
@@ -160,12 +160,12 @@
   }
 };
 
-TEST_CASE("an evacuated zone stays so until it is taken back, over repeats and snapshots") {
+TEST_CASE("an evacuation lasts until it is ended, across repeated commands and snapshots") {
   Fixture fixture;
   const common::ZoneName zone("north");
   const BackendId id = register_in(fixture, "a", "north");
   CHECK(fixture.apply(EvacuateZone{zone, true}).delta.zones.size() == 1);
-  CHECK(fixture.apply(EvacuateZone{zone, true}).delta.empty());  // the same order again
+  CHECK(fixture.apply(EvacuateZone{zone, true}).delta.empty());  // the same command again
   auto restored = CellState::decode_snapshot(fixture.state.encode_snapshot());
   REQUIRE(restored.has_value());
   fixture.state = std::move(*restored);
@@ -179,14 +179,15 @@
   CHECK(fixture.apply(EvacuateZone{zone, false}).delta.empty());
 }
 
-TEST_CASE("back ends of a zone that is taken back are cold, for routers as for the state") {
+TEST_CASE(
+    "back ends are cold after the evacuation of their zone, in the state and in router tables") {
   Fixture fixture;
-  Follower router;
+  RouterTable router;
   const BackendId inside = register_in(fixture, "a", "north");
   const BackendId outside = register_in(fixture, "b", "south");
-  router.follow(fixture.state.table_snapshot());
+  router.apply(fixture.state.table_snapshot());
   for (const bool evacuated : {true, false}) {
-    router.follow(fixture.apply(EvacuateZone{common::ZoneName("north"), evacuated}).delta);
+    router.apply(fixture.apply(EvacuateZone{common::ZoneName("north"), evacuated}).delta);
     CHECK(router.table.is_evacuated(*router.table.find_backend(inside)) == evacuated);
     CHECK_FALSE(router.table.is_evacuated(*router.table.find_backend(outside)));
   }
@@ -195,18 +196,18 @@
   CHECK_FALSE(fixture.state.find_backend(outside)->cold);
   CHECK_FALSE(router.table.find_backend(outside)->cold);
   const ApplyResult warmed = fixture.apply(SetWarmth{{outside}, {inside}});
-  CHECK(warmed.delta.backends.empty());  // a few bytes for each, not the whole route
-  router.follow(warmed.delta);
+  CHECK(warmed.delta.backends.empty());  // warmth entries only, not whole routes
+  router.apply(warmed.delta);
   CHECK_FALSE(router.table.find_backend(inside)->cold);
   CHECK(router.table.find_backend(outside)->cold);
 }
 
-TEST_CASE("a back end that registers cold is cold in the table from its first moment") {
+TEST_CASE("a back end that registers as cold is cold in the table from the start") {
   Fixture fixture;
-  Follower router;
-  router.follow(fixture.state.table_snapshot());
+  RouterTable router;
+  router.apply(fixture.state.table_snapshot());
   const BackendId id = register_in(fixture, "a", "north", true);
-  router.follow(fixture.state.table_snapshot());
+  router.apply(fixture.state.table_snapshot());
   CHECK(fixture.state.find_backend(id)->cold);
   CHECK(router.table.find_backend(id)->cold);
 }
