--- a/src/ownership/planner.cpp
+++ b/src/ownership/planner.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::uint64_t kVirtualNodes = 64;
-/// A target below this fraction of the mean, such as one that has just joined, is given shards even
-/// while no target is above the limit.
-constexpr double kStarvedFraction = 0.5;
+/// A target below this fraction of the mean load, such as one that has just joined, is given shards
+/// even if no target is above the limit.
+constexpr double kUnderloadFraction = 0.5;
 
 bool contains(const std::vector<BackendId>& ids, BackendId id) {
   return std::find(ids.begin(), ids.end(), id) != ids.end();
@@ -26,15 +26,15 @@
   const ServiceRecord& service;
   std::vector<BackendId> targets;
   std::set<BackendId> lost;
-  std::vector<double> weights;          ///< by shard
-  std::map<BackendId, double> carried;  ///< weight by target, with what the plan adds
+  std::vector<double> weights;                  ///< by shard
+  std::map<BackendId, double> assigned_weight;  ///< by target, with the effects of the plan
   std::uint32_t moving = 0;
 
-  /// The target that carries the least; nothing where there are no targets.
-  std::optional<BackendId> lightest() const {
+  /// Returns the least loaded target, or nothing if there are no targets.
+  std::optional<BackendId> least_loaded() const {
     std::optional<BackendId> best;
     double least = std::numeric_limits<double>::max();
-    for (const auto& [id, weight] : carried) {
+    for (const auto& [id, weight] : assigned_weight) {
       if (weight < least) {
         least = weight;
         best = id;
@@ -42,9 +42,10 @@
     }
     return best;
   }
-  void carry(BackendId id, ShardNumber shard) {
-    const auto found = carried.find(id);
-    if (found != carried.end()) {
+  /// Adds the weight of a shard to its target.
+  void add_weight(BackendId id, ShardNumber shard) {
+    const auto found = assigned_weight.find(id);
+    if (found != assigned_weight.end()) {
       found->second += weights[shard.value];
     }
   }
@@ -78,16 +79,16 @@
       weight += idle;
     }
     for (const BackendId target : work.targets) {
-      work.carried[target] = 0;
+      work.assigned_weight[target] = 0;
     }
     for (std::uint32_t i = 0; i < service.shards.size(); ++i) {
       const ShardRecord& shard = service.shards[i];
-      work.carry(shard.moving ? shard.move_to : shard.owner, ShardNumber(i));
+      work.add_weight(shard.moving ? shard.move_to : shard.owner, ShardNumber(i));
       work.moving += shard.moving ? 1 : 0;
     }
     place_released(work, input, plan);
     place_unowned(work, plan);
-    evacuate(work, plan);
+    drain_non_targets(work, plan);
     if (input.balance && !service.retired) {
       balance(now, work, plan);
     }
@@ -153,8 +154,8 @@
     }
     BackendId owner = shard.move_to;
     if (!contains(work.targets, owner)) {
-      owner = work.lightest().value_or(BackendId());
-      work.carry(owner, ShardNumber(i));
+      owner = work.least_loaded().value_or(BackendId());
+      work.add_weight(owner, ShardNumber(i));
     }
     plan.assignments.push_back({work.service.id, ShardNumber(i), shard.epoch, owner});
   }
@@ -171,7 +172,7 @@
       unowned.emplace_back(i);
     }
   }
-  // Heaviest first, each to the lightest target (longest processing time rule, Graham 1969).
+  // Heaviest first, each to the least loaded target (longest processing time rule, Graham 1969).
   std::stable_sort(unowned.begin(), unowned.end(), [&](ShardNumber a, ShardNumber b) {
     return work.weights[a.value] > work.weights[b.value];
   });
@@ -179,41 +180,41 @@
     const ShardRecord& shard = work.service.shards[number.value];
     BackendId owner = shard.moving ? shard.move_to : BackendId();
     if (!contains(work.targets, owner)) {
-      const auto lightest = work.lightest();
-      if (!lightest.has_value()) {
+      const auto least_loaded = work.least_loaded();
+      if (!least_loaded.has_value()) {
         return;
       }
       owner = options_.mode == BalanceMode::kBudgeted || options_.mode == BalanceMode::kGreedy
-                  ? *lightest
-                  : fixed_owner(work, number);
-      work.carry(owner, number);
+                  ? *least_loaded
+                  : load_independent_owner(work, number);
+      work.add_weight(owner, number);
     }
     plan.assignments.push_back({work.service.id, number, shard.epoch, owner});
   }
 }
 
-void Planner::evacuate(Workspace& work, ApplyPlan& plan) {
+void Planner::drain_non_targets(Workspace& work, ApplyPlan& plan) {
   for (std::uint32_t i = 0; i < work.service.shards.size(); ++i) {
     const ShardRecord& shard = work.service.shards[i];
-    const bool misplaced = shard.owner.value != 0 && !work.lost.contains(shard.owner) &&
-                           !contains(work.targets, shard.owner);
-    if (!misplaced || shard.moving) {
+    const bool is_misplaced = shard.owner.value != 0 && !work.lost.contains(shard.owner) &&
+                              !contains(work.targets, shard.owner);
+    if (!is_misplaced || shard.moving) {
       continue;
     }
     if (work.moving >= options_.concurrent_moves) {
       return;
     }
-    const auto to = work.lightest();
+    const auto to = work.least_loaded();
     if (!to.has_value() && !work.service.retired) {
-      return;  // a leaving owner is better than none
+      return;  // a leaving owner is better than no owner
     }
     ++work.moving;
-    work.carry(to.value_or(BackendId()), ShardNumber(i));
+    work.add_weight(to.value_or(BackendId()), ShardNumber(i));
     plan.moves.push_back({work.service.id, ShardNumber(i), shard.epoch, to.value_or(BackendId())});
   }
 }
 
-BackendId Planner::fixed_owner(const Workspace& work, ShardNumber shard) const {
+BackendId Planner::load_independent_owner(const Workspace& work, ShardNumber shard) const {
   if (options_.mode == BalanceMode::kModulo) {
     return work.targets[shard.value % work.targets.size()];
   }
@@ -234,18 +235,18 @@
 }
 
 void Planner::balance(common::TimePoint now, Workspace& work, ApplyPlan& plan) {
-  const bool fixed =
+  const bool ignores_load =
       options_.mode == BalanceMode::kModulo || options_.mode == BalanceMode::kConsistentHash;
-  if (work.carried.size() < 2 || work.moving >= options_.concurrent_moves) {
+  if (work.assigned_weight.size() < 2 || work.moving >= options_.concurrent_moves) {
     return;
   }
-  if (fixed) {
+  if (ignores_load) {
     for (std::uint32_t i = 0; i < work.service.shards.size(); ++i) {
       const ShardRecord& shard = work.service.shards[i];
-      const BackendId wanted = fixed_owner(work, ShardNumber(i));
-      const bool settled = shard.moving || shard.owner.value == 0 || shard.owner == wanted ||
-                           work.lost.contains(shard.owner);
-      if (!settled && contains(work.targets, shard.owner) &&
+      const BackendId wanted = load_independent_owner(work, ShardNumber(i));
+      const bool is_settled = shard.moving || shard.owner.value == 0 || shard.owner == wanted ||
+                              work.lost.contains(shard.owner);
+      if (!is_settled && contains(work.targets, shard.owner) &&
           work.moving < options_.concurrent_moves) {
         ++work.moving;
         ++balancing_moves_;
@@ -255,57 +256,58 @@
     return;
   }
   const auto by_weight = [](const auto& a, const auto& b) { return a.second < b.second; };
-  const auto [lightest, heaviest] =
-      std::minmax_element(work.carried.begin(), work.carried.end(), by_weight);
+  const auto [least_loaded, most_loaded] =
+      std::minmax_element(work.assigned_weight.begin(), work.assigned_weight.end(), by_weight);
   double total = 0;
-  for (const auto& [id, weight] : work.carried) {
+  for (const auto& [id, weight] : work.assigned_weight) {
     total += weight;
   }
-  const double mean = total / static_cast<double>(work.carried.size());
+  const double mean = total / static_cast<double>(work.assigned_weight.size());
   const config::BalancePolicy& policy = work.service.config.parameters.balance;
   const bool greedy = options_.mode == BalanceMode::kGreedy;
-  const bool even = heaviest->second <= policy.max_imbalance * mean &&
-                    lightest->second >= kStarvedFraction * mean;
-  if (!greedy && even) {
+  const bool is_even = most_loaded->second <= policy.max_imbalance * mean &&
+                       least_loaded->second >= kUnderloadFraction * mean;
+  if (!greedy && is_even) {
     return;
   }
-  // The shard whose move lowers the higher of both targets the most.
+  // The shard whose move minimizes the higher load of the two targets.
   std::optional<ShardNumber> best;
-  double best_peak = heaviest->second - (greedy ? 0.0 : policy.minimum_gain * mean);
+  double best_peak = most_loaded->second - (greedy ? 0.0 : policy.minimum_gain * mean);
   for (std::uint32_t i = 0; i < work.service.shards.size(); ++i) {
     const ShardRecord& shard = work.service.shards[i];
-    if (shard.owner != heaviest->first || shard.moving ||
-        (!greedy && stays(now, work.service, ShardNumber(i)))) {
+    if (shard.owner != most_loaded->first || shard.moving ||
+        (!greedy && must_stay(now, work.service, ShardNumber(i)))) {
       continue;
     }
     const double peak =
-        std::max(heaviest->second - work.weights[i], lightest->second + work.weights[i]);
+        std::max(most_loaded->second - work.weights[i], least_loaded->second + work.weights[i]);
     if (peak < best_peak) {
       best_peak = peak;
       best = ShardNumber(i);
     }
   }
-  if (!best.has_value() || (!greedy && !spend(now, work.service))) {
+  if (!best.has_value() || (!greedy && !spend_token(now, work.service))) {
     return;
   }
   ++balancing_moves_;
   moved_at_[{work.service.id, *best}] = now;
   plan.moves.push_back(
-      {work.service.id, *best, work.service.shards[best->value].epoch, lightest->first});
+      {work.service.id, *best, work.service.shards[best->value].epoch, least_loaded->first});
 }
 
-bool Planner::stays(common::TimePoint now, const ServiceRecord& service, ShardNumber shard) const {
+bool Planner::must_stay(common::TimePoint now, const ServiceRecord& service,
+                        ShardNumber shard) const {
   const auto moved = moved_at_.find({service.id, shard});
   const std::chrono::milliseconds stay(service.config.parameters.balance.minimum_stay_ms);
   return moved != moved_at_.end() && now - moved->second < stay;
 }
 
-bool Planner::spend(common::TimePoint now, const ServiceRecord& service) {
+bool Planner::spend_token(common::TimePoint now, const ServiceRecord& service) {
   const double per_minute = service.config.parameters.balance.moves_per_minute;
   const bool is_new = !budgets_.contains(service.id);
   Budget& budget = budgets_[service.id];
   if (is_new) {
-    budget = {0.0, now};  // a new leader has seen no load yet
+    budget = {0.0, now};  // starts empty, as a new leader has no load reports yet
   }
   const double minutes =
       std::chrono::duration<double, std::ratio<60>>(now - budget.filled_at).count();
--- a/src/ownership/planner.hpp
+++ b/src/ownership/planner.hpp
@@ -1,7 +1,8 @@
 #pragma once
-/// Decides targets, owners and moves. Pure: reads the cell's state and gives the next plan.
-/// Joins and losses move the fewest shards; balancing moves one shard at a time under a churn
-/// budget, a minimum stay and a minimum gain (hysteresis).
+/// Decides targets, owners and moves of shards: reads the cell's state and returns the next plan,
+/// without effects of its own. Joining and lost back ends move the fewest shards possible;
+/// balancing moves one shard at a time under a churn budget, a minimum stay and a minimum gain
+/// (hysteresis).
 
 #include <cstdint>
 #include <map>
@@ -16,57 +17,68 @@
 
 namespace planktray::ownership {
 
-/// How shards are balanced; all but kBudgeted are baselines to measure against.
+/// How shards are balanced; all modes except kBudgeted are baselines for benchmarks.
 enum class BalanceMode : std::uint8_t {
-  kBudgeted,        ///< the product's own
+  kBudgeted,        ///< the default, as described above
   kModulo,          ///< shard number modulo targets
   kConsistentHash,  ///< ring with virtual nodes (Karger et al., 1997)
-  kGreedy,          ///< always even out, without hysteresis or budget
+  kGreedy,          ///< evens out load without hysteresis or budget
 };
 
 struct PlannerOptions {
   BalanceMode mode = BalanceMode::kBudgeted;
-  /// Planned moves that may be under way at once for one service.
+  /// Limit of concurrent planned moves of a service.
   std::uint32_t concurrent_moves = 16;
-  /// Weight of a shard without load, as a fraction of the mean shard; evens out idle shards.
+  /// Weight that every shard has in addition to its load, as a fraction of the mean load of a
+  /// shard. It spreads idle shards evenly.
   double idle_weight = 0.2;
 };
 
+/// Input of one planning pass.
 struct PlannerInput {
   const CellState& state;
   const LoadView& loads;
-  std::vector<BackendId> lost;
-  const std::set<HeldShard>& released;
-  bool balance = false;  ///< also look for moves that even out load
+  std::vector<BackendId> lost;          ///< back ends whose lease has certainly expired
+  const std::set<HeldShard>& released;  ///< shards that their owners have released
+  bool balance = false;                 ///< whether to plan moves that balance load
 };
 
+/// Plans the ownership of shards.
 class Planner {
  public:
   explicit Planner(PlannerOptions options) : options_(options) {}
 
-  /// Forgets stays and budgets, as a new leader does.
+  /// Resets stays and budgets for a new term.
   void begin_term();
+  /// Returns the decisions that are due, an empty plan if there are none.
   ApplyPlan plan(common::TimePoint now, const PlannerInput& input);
-  /// Moves proposed for balancing so far.
+  /// Returns the number of moves planned for balancing so far.
   std::uint64_t balancing_moves() const { return balancing_moves_; }
 
  private:
+  /// Token bucket for balancing moves.
   struct Budget {
     double tokens = 0;
     common::TimePoint filled_at;
   };
-  /// One service while its part of the plan is made.
+  /// State of one service during planning.
   struct Workspace;
 
   std::vector<BackendId> choose_targets(const ServiceRecord& service,
                                         const PlannerInput& input) const;
+  /// Assigns shards without an owner and shards of lost back ends.
   void place_unowned(Workspace& work, ApplyPlan& plan);
+  /// Assigns shards that their owners have released for a move.
   void place_released(Workspace& work, const PlannerInput& input, ApplyPlan& plan);
-  void evacuate(Workspace& work, ApplyPlan& plan);
+  /// Moves shards off owners that are not targets.
+  void drain_non_targets(Workspace& work, ApplyPlan& plan);
   void balance(common::TimePoint now, Workspace& work, ApplyPlan& plan);
-  bool spend(common::TimePoint now, const ServiceRecord& service);
-  bool stays(common::TimePoint now, const ServiceRecord& service, ShardNumber shard) const;
-  BackendId fixed_owner(const Workspace& work, ShardNumber shard) const;
+  /// Takes a token from the service's budget. @return false if there is none.
+  bool spend_token(common::TimePoint now, const ServiceRecord& service);
+  /// Returns true if the shard was moved less than the minimum stay ago.
+  bool must_stay(common::TimePoint now, const ServiceRecord& service, ShardNumber shard) const;
+  /// Returns the owner that a mode without regard to load gives to a shard.
+  BackendId load_independent_owner(const Workspace& work, ShardNumber shard) const;
 
   PlannerOptions options_;
   std::map<ServiceId, Budget> budgets_;
