--- a/src/ownership/range_planner.cpp
+++ b/src/ownership/range_planner.cpp
@@ -25,13 +25,13 @@
       isolate_dominant(work, plan);
     }
     assign_free(work, plan);
-    empty_leaving(work, plan);
+    drain_owners(work, plan);
     if (input.balance) {
       balance(work, plan);
     }
     if (input.join) {
       close_gaps(work, plan);
-      join_neighbours(work, plan);
+      join_adjacent(work, plan);
     }
   }
   return plan;
@@ -72,7 +72,7 @@
   }
 }
 
-void RangePlanner::empty_leaving(Workspace& work, ApplyRangePlan& plan) const {
+void RangePlanner::drain_owners(Workspace& work, ApplyRangePlan& plan) const {
   const std::vector<Segment> segments = work.segments();
   for (const Segment& segment : segments) {
     const BackendRecord* owner = work.input().state.find_backend(segment.owner);
@@ -87,15 +87,16 @@
 
 void RangePlanner::isolate_dominant(Workspace& work, ApplyRangePlan& plan) const {
   if (work.targets().size() < 2) {
-    return;  // one target at least stays for all other keys
+    return;  // at least one target has to remain for all other keys
   }
   const KeyRate hottest = work.input().loads.hottest(work.service().id);
   const KeyRange key{hottest.key, hottest.key};
   const auto segment =
       std::find_if(work.segments().begin(), work.segments().end(),
                    [&](const Segment& candidate) { return candidate.keys.contains(key); });
-  const double least = std::max(options_.dominant_share * work.level(), telling_load());
-  if (hottest.rate <= least || segment == work.segments().end() ||
+  const double min_load =
+      std::max(options_.dominant_share * work.mean_utilization(), min_significant_load());
+  if (hottest.rate <= min_load || segment == work.segments().end() ||
       !work.is_target(segment->owner)) {
     return;
   }
@@ -108,35 +109,35 @@
       [](const auto& a, const auto& b) { return a.second.capacity < b.second.capacity; });
   const double owner_capacity = work.targets().at(owner).capacity;
   BackendId host = owner;
-  if (fastest->second.capacity > options_.faster_by * owner_capacity) {
+  if (fastest->second.capacity > options_.min_speedup * owner_capacity) {
     host = fastest->first;
     work.move(plan, key, segment->fence, owner, host);
   }
   work.reserve(host, key);
-  empty_host(work, plan, host, key);
+  drain_host(work, plan, host, key);
 }
 
-void RangePlanner::empty_host(Workspace& work, ApplyRangePlan& plan, BackendId host,
+void RangePlanner::drain_host(Workspace& work, ApplyRangePlan& plan, BackendId host,
                               const KeyRange& key) const {
   const std::vector<Segment> segments = work.segments();
   for (const Segment& segment : segments) {
     if (segment.owner != host) {
       continue;
     }
-    const auto give_away = [&](const KeyRange& keys) {
+    const auto move_away = [&](const KeyRange& keys) {
       work.spread(keys, [&](const KeyRange& piece, BackendId target) {
         plan.moves.push_back({work.service().id, piece, segment.fence, target});
       });
     };
     if (!segment.keys.contains(key)) {
-      give_away(segment.keys);
+      move_away(segment.keys);
       continue;
     }
     if (segment.keys.first < key.first) {
-      give_away({segment.keys.first, key.first - 1});
+      move_away({segment.keys.first, key.first - 1});
     }
     if (key.last < segment.keys.last) {
-      give_away({key.last + 1, segment.keys.last});
+      move_away({key.last + 1, segment.keys.last});
     }
   }
   std::erase_if(work.segments(), [host](const Segment& segment) { return segment.owner == host; });
@@ -147,7 +148,7 @@
   if (records.size() < 3) {
     return;
   }
-  const double idle = options_.smallest_gain * work.level() / 2;
+  const double max_idle_load = options_.smallest_gain * work.mean_utilization() / 2;
   for (auto gap = std::next(records.begin()); std::next(gap) != records.end(); ++gap) {
     const RangeRecord& before = std::prev(gap)->second;
     const RangeRecord& after = std::next(gap)->second;
@@ -160,14 +161,14 @@
           return move.service == work.service().id &&
                  move.keys.overlaps({before.keys.first, after.keys.last});
         });
-    if (is_between && !is_moving && !is_planned && work.load(record.keys) <= idle &&
+    if (is_between && !is_moving && !is_planned && work.load(record.keys) <= max_idle_load &&
         work.may_give_up(record.owner) && work.moving() < options_.concurrent_moves) {
       work.move(plan, record.keys, record.fence, record.owner, before.owner);
     }
   }
 }
 
-void RangePlanner::join_neighbours(const Workspace& work, ApplyRangePlan& plan) const {
+void RangePlanner::join_adjacent(const Workspace& work, ApplyRangePlan& plan) const {
   const auto& records = work.service().ranges.records();
   const auto may_join = [&](const RangeRecord& record) {
     return !record.moving && record.owner.value != 0 &&
@@ -195,41 +196,43 @@
 }
 
 void RangePlanner::balance(Workspace& work, ApplyRangePlan& plan) const {
-  const double level = work.level();
-  const double noise = options_.noise_factor * std::sqrt(level * options_.noise_rate);
-  const double limit = level + std::max(level * (options_.max_imbalance - 1.0), noise);
-  const std::size_t most_ranges = options_.ranges_per_target * work.targets().size();
+  const double mean = work.mean_utilization();
+  const double noise = options_.noise_factor * std::sqrt(mean * options_.noise_rate);
+  const double limit = mean + std::max(mean * (options_.max_imbalance - 1.0), noise);
+  const std::size_t max_ranges = options_.ranges_per_target * work.targets().size();
   while (work.moving() < options_.concurrent_moves && work.targets().size() > 1 &&
-         work.service().ranges.records().size() + work.moving() < most_ranges) {
-    const auto heaviest = work.heaviest();
-    if (heaviest == work.targets().end()) {
+         work.service().ranges.records().size() + work.moving() < max_ranges) {
+    const auto most_loaded = work.most_loaded();
+    if (most_loaded == work.targets().end()) {
       return;
     }
-    const auto lightest = work.lightest();
-    const bool is_heavy = heaviest->second.utilization() > limit;
-    const bool is_starved = lightest->second.utilization() < options_.starved_share * level - noise;
-    if (!is_heavy && !is_starved) {
+    const auto least_loaded = work.least_loaded();
+    const bool is_overloaded = most_loaded->second.utilization() > limit;
+    const bool is_underloaded =
+        least_loaded->second.utilization() < options_.underload_share * mean - noise;
+    if (!is_overloaded && !is_underloaded) {
       return;
     }
-    const double excess = heaviest->second.load - level * heaviest->second.capacity;
-    const double room = level * lightest->second.capacity - lightest->second.load;
-    const double wanted = std::min(excess, room);
-    const bool is_bounded = heaviest->second.max_load.has_value();
-    const double gain = options_.smallest_gain * level *
-                        (is_bounded ? std::min(1.0, heaviest->second.capacity) : 1.0);
-    const double least = std::max(gain, telling_load());
-    auto part = wanted > least ? work.part_of(heaviest->first, wanted) : std::nullopt;
-    if (!part.has_value() && is_bounded && wanted > least) {
-      part = work.part_of(heaviest->first, heaviest->second.load);  // one key is too much for it
+    const double excess = most_loaded->second.load - mean * most_loaded->second.capacity;
+    const double spare = mean * least_loaded->second.capacity - least_loaded->second.load;
+    const double wanted = std::min(excess, spare);
+    const bool is_bounded = most_loaded->second.max_load.has_value();
+    const double min_gain = options_.smallest_gain * mean *
+                            (is_bounded ? std::min(1.0, most_loaded->second.capacity) : 1.0);
+    const double min_moved = std::max(min_gain, min_significant_load());
+    auto part = wanted > min_moved ? work.find_part(most_loaded->first, wanted) : std::nullopt;
+    if (!part.has_value() && is_bounded && wanted > min_moved) {
+      part = work.find_part(most_loaded->first,
+                            most_loaded->second.load);  // a single key may exceed the limit
     }
     if (!part.has_value() && is_bounded) {
-      work.leave(heaviest->first);  // the others are balanced all the same
+      work.exclude(most_loaded->first);  // the other targets are still balanced
       continue;
     }
     if (!part.has_value()) {
       return;
     }
-    work.move(plan, part->keys, part->fence, heaviest->first, lightest->first);
+    work.move(plan, part->keys, part->fence, most_loaded->first, least_loaded->first);
   }
 }
 
--- a/src/ownership/range_workspace.cpp
+++ b/src/ownership/range_workspace.cpp
@@ -6,21 +6,24 @@
 namespace planktray::ownership {
 namespace {
 
-/// Load that a key counts beside what was seen of it, as a share of the mean: where nothing is
-/// known, keys count alike.
+/// Load added to the observed load of each key, as a fraction of the mean load of a key, so that
+/// keys without observations have equal loads.
 constexpr double kIdleShare = 0.15;
-constexpr double kSmallestTotal = 1.0;
-/// A part may exceed the load that is wanted by this factor.
+/// Least total load from which the added load is derived, in requests per second.
+constexpr double kMinTotalLoad = 1.0;
+/// A part may exceed the wanted load by this factor.
 constexpr double kTolerance = 1.25;
-/// A cluster is cut out of the middle of a range only if it is this many times denser.
+/// A cluster is cut out of the middle of a range only if its load per key is higher than that of
+/// the beginning of the range by this factor.
 constexpr double kDenseFactor = 5.0;
-/// A part carries at least this much of what is wanted.
-constexpr double kSmallestPart = 0.3;
-/// Capacity of a target that may be given next to nothing: it stays above 0, as loads are divided
-/// by it, and low enough to be worth one busy key at most.
-constexpr double kLeastCapacity = 0.01;
-/// The level rises as capacities are bounded, and with it what a bound is compared with.
-constexpr int kBoundingRounds = 3;
+/// A part carries at least this fraction of the wanted load.
+constexpr double kMinPartFraction = 0.3;
+/// Least capacity of a target whose maximum load is almost 0. Positive, as loads are divided by it,
+/// and low enough for at most one busy key.
+constexpr double kMinCapacity = 0.01;
+/// Limiting capacities raises the mean utilization, from which the limits are derived: repeated
+/// until it has about converged.
+constexpr int kCapacityLimitRounds = 3;
 
 }  // namespace
 
@@ -28,13 +31,13 @@
                                    const RoutedServiceRecord& service)
     : input_(input), service_(service) {
   busy_ = input.loads.busy_keys(service.id, KeyRange());
-  sums_.push_back(0);
+  prefix_sums_.push_back(0);
   for (const KeyRate& busy : busy_) {
-    sums_.push_back(sums_.back() + busy.rate);
+    prefix_sums_.push_back(prefix_sums_.back() + busy.rate);
   }
-  const double seen = sums_.back();
-  idle_rate_ = kIdleShare * std::max(seen, kSmallestTotal) / config::kKeyCount;
-  total_ = seen + idle_rate_ * config::kKeyCount;
+  const double observed = prefix_sums_.back();
+  idle_rate_ = kIdleShare * std::max(observed, kMinTotalLoad) / config::kKeyCount;
+  total_load_ = observed + idle_rate_ * config::kKeyCount;
   for (const auto& [id, backend] : input.state.backends()) {
     if (backend.pool.value == service.config.name.value && input.is_eligible(backend)) {
       targets_[id].capacity = input.capacity(backend);
@@ -43,9 +46,9 @@
       total_capacity_ += targets_[id].capacity;
     }
   }
-  bound_capacities();
+  limit_capacities();
   for (const auto& [first, range] : service.ranges.records()) {
-    carry(range.moving ? range.move_to : range.owner, load(range.keys));
+    add_load(range.moving ? range.move_to : range.owner, load(range.keys));
     moving_ += range.moving ? 1 : 0;
     if (!range.moving && range.owner.value != 0) {
       segments_.push_back({range.keys, range.owner, range.fence});
@@ -53,14 +56,14 @@
   }
 }
 
-void RangePlanner::Workspace::bound_capacities() {
-  for (int round = 0; round < kBoundingRounds; ++round) {
-    const double present = level();
+void RangePlanner::Workspace::limit_capacities() {
+  for (int round = 0; round < kCapacityLimitRounds; ++round) {
+    const double mean = mean_utilization();
     total_capacity_ = 0;
     for (auto& [id, target] : targets_) {
       if (target.max_load.has_value()) {
-        const double bounded = std::max(*target.max_load / present, kLeastCapacity);
-        target.capacity = std::min(target.capacity, bounded);
+        const double max_capacity = std::max(*target.max_load / mean, kMinCapacity);
+        target.capacity = std::min(target.capacity, max_capacity);
       }
       total_capacity_ += target.capacity;
     }
@@ -68,8 +71,9 @@
 }
 
 double RangePlanner::Workspace::load(const KeyRange& keys) const {
-  const double seen = sums_[first_busy(keys.last + 1)] - sums_[first_busy(keys.first)];
-  return seen + idle_rate_ * keys.size();
+  const double observed =
+      prefix_sums_[first_busy(keys.last + 1)] - prefix_sums_[first_busy(keys.first)];
+  return observed + idle_rate_ * keys.size();
 }
 
 std::size_t RangePlanner::Workspace::first_busy(std::uint32_t key) const {
@@ -79,22 +83,22 @@
   return static_cast<std::size_t>(found - busy_.begin());
 }
 
-RangePlanner::Workspace::Targets::iterator RangePlanner::Workspace::lightest() {
+RangePlanner::Workspace::Targets::iterator RangePlanner::Workspace::least_loaded() {
   return std::min_element(targets_.begin(), targets_.end(), [](const auto& a, const auto& b) {
     return a.second.utilization() < b.second.utilization();
   });
 }
 
-RangePlanner::Workspace::Targets::iterator RangePlanner::Workspace::heaviest() {
-  auto heaviest = targets_.end();
+RangePlanner::Workspace::Targets::iterator RangePlanner::Workspace::most_loaded() {
+  auto most_loaded = targets_.end();
   for (auto target = targets_.begin(); target != targets_.end(); ++target) {
-    const bool is_heavier =
-        heaviest == targets_.end() || target->second.utilization() > heaviest->second.utilization();
-    if (target->second.may_give_up && is_heavier) {
-      heaviest = target;
+    const bool is_more_loaded = most_loaded == targets_.end() ||
+                                target->second.utilization() > most_loaded->second.utilization();
+    if (target->second.may_give_up && is_more_loaded) {
+      most_loaded = target;
     }
   }
-  return heaviest;
+  return most_loaded;
 }
 
 bool RangePlanner::Workspace::may_give_up(BackendId id) const {
@@ -104,12 +108,12 @@
 
 void RangePlanner::Workspace::reserve(BackendId id, const KeyRange& keys) {
   const auto found = targets_.find(id);
-  total_ = std::max(total_ - load(keys), idle_rate_ * config::kKeyCount);
+  total_load_ = std::max(total_load_ - load(keys), idle_rate_ * config::kKeyCount);
   total_capacity_ -= found->second.capacity;
   targets_.erase(found);
 }
 
-void RangePlanner::Workspace::carry(BackendId id, double load) {
+void RangePlanner::Workspace::add_load(BackendId id, double load) {
   const auto found = targets_.find(id);
   if (found != targets_.end()) {
     found->second.load += load;
@@ -118,9 +122,9 @@
 
 void RangePlanner::Workspace::move(ApplyRangePlan& plan, const KeyRange& keys, Epoch fence,
                                    BackendId from, BackendId to) {
-  const double moved = load(keys);
-  carry(from, -moved);
-  carry(to, moved);
+  const double moved_load = load(keys);
+  add_load(from, -moved_load);
+  add_load(to, moved_load);
   ++moving_;
   cut_out(keys);
   plan.moves.push_back({service_.id, keys, fence, to});
@@ -143,12 +147,12 @@
   }
 }
 
-KeyRange RangePlanner::Workspace::beginning(const KeyRange& keys, double room) const {
+KeyRange RangePlanner::Workspace::prefix(const KeyRange& keys, double max_load) const {
   std::uint32_t low = keys.first;
   std::uint32_t high = keys.last;
   while (low < high) {
     const std::uint32_t middle = low + (high - low + 1) / 2;
-    if (load({keys.first, middle}) <= room) {
+    if (load({keys.first, middle}) <= max_load) {
       low = middle;
     } else {
       high = middle - 1;
@@ -160,7 +164,7 @@
 std::optional<KeyRange> RangePlanner::Workspace::cluster(const KeyRange& keys,
                                                          double wanted) const {
   std::optional<KeyRange> best;
-  double best_sum = 0;
+  double best_load = 0;
   double sum = 0;
   std::size_t left = first_busy(keys.first);
   const std::size_t end = first_busy(keys.last + 1);
@@ -173,31 +177,31 @@
       continue;
     }
     const KeyRange run{busy_[left].key, busy_[right].key};
-    const double worth = std::min(sum, wanted);
+    const double useful = std::min(sum, wanted);
     const bool is_denser =
-        !best.has_value() || worth * best->size() > best_sum * run.size() * kTolerance;
-    if (sum >= kSmallestPart * wanted && is_denser) {
+        !best.has_value() || useful * best->size() > best_load * run.size() * kTolerance;
+    if (sum >= kMinPartFraction * wanted && is_denser) {
       best = run;
-      best_sum = worth;
+      best_load = useful;
     }
   }
   return best;
 }
 
-std::optional<Segment> RangePlanner::Workspace::part_of(BackendId owner, double wanted) const {
+std::optional<Segment> RangePlanner::Workspace::find_part(BackendId owner, double wanted) const {
   std::optional<Segment> best;
   double best_load = 0;
   for (const Segment& segment : segments_) {
     if (segment.owner != owner) {
       continue;
     }
-    KeyRange part = beginning(segment.keys, wanted);
+    KeyRange part = prefix(segment.keys, wanted);
     const auto dense = cluster(segment.keys, wanted);
     const bool is_dense =
         dense.has_value() && load(*dense) * part.size() > kDenseFactor * load(part) * dense->size();
     part = is_dense ? *dense : part;
     const double part_load = load(part);
-    const bool fits = part_load <= kTolerance * wanted && part_load >= kSmallestPart * wanted;
+    const bool fits = part_load <= kTolerance * wanted && part_load >= kMinPartFraction * wanted;
     if (fits && part_load > best_load) {
       best_load = part_load;
       best = Segment{part, owner, segment.fence};
--- a/test/ownership/range_planner_test.cpp
+++ b/test/ownership/range_planner_test.cpp
@@ -10,15 +10,15 @@
 
 common::TimePoint at(std::int64_t value) { return common::from_microseconds(value * 1000); }
 
-/// A keyed service with some targets, what routers reported of it, and a planner.
+/// A keyed service with targets, the loads reported by routers, and a planner.
 struct Fixture {
   CellState state;
   KeyLoads loads{std::chrono::milliseconds(800)};
   RangePlanner planner{RangePlannerOptions()};
   std::map<BackendId, double> capacities;
   std::set<BackendId> ineligible;
-  std::set<BackendId> out_of_hearing;
-  std::map<BackendId, double> bounds;  ///< requests a second that a target may be given
+  std::set<BackendId> unnotifiable;
+  std::map<BackendId, double> max_loads;  ///< maximum requests per second by target
   std::vector<BackendId> targets;
   std::uint64_t index = 0;
   ServiceId service;
@@ -69,14 +69,14 @@
     input.may_assign = [&](ServiceId, const RangeRecord&) {
       return GrantManager::Availability{true, ""};
     };
-    input.can_notify = [&](BackendId id) { return !out_of_hearing.contains(id); };
+    input.can_notify = [&](BackendId id) { return !unnotifiable.contains(id); };
     input.max_load = [&](const BackendRecord& backend) {
-      const auto found = bounds.find(backend.id);
-      return found == bounds.end() ? std::nullopt : std::optional(found->second);
+      const auto found = max_loads.find(backend.id);
+      return found == max_loads.end() ? std::nullopt : std::optional(found->second);
     };
     return planner.plan(input);
   }
-  /// Plans and applies, as if every release were answered at once, until nothing changes.
+  /// Plans and applies until nothing changes, as if every release were accepted immediately.
   void settle(bool balance, int rounds = 20) {
     for (int i = 0; i < rounds; ++i) {
       const ApplyRangePlan next = plan(balance);
@@ -86,10 +86,10 @@
       apply(next);
     }
   }
-  /// `rate` requests a second for each of these keys, seen for as long as is needed to settle.
-  void report(std::uint32_t first, std::uint32_t last, std::uint32_t rate) {
+  /// Reports this number of requests for each key of a range.
+  void report(std::uint32_t first, std::uint32_t last, std::uint32_t requests) {
     for (std::uint32_t key = first; key <= last; ++key) {
-      loads.add({{service, key, rate}});
+      loads.add({{service, key, requests}});
     }
   }
   void fold() {
@@ -115,7 +115,7 @@
   }
 };
 
-TEST_CASE("the first owners get even parts, one range each") {
+TEST_CASE("the first owners get one range each, of even sizes") {
   Fixture fixture(14);
   fixture.settle(false);
   CHECK(fixture.ranges().size() == 14);
@@ -131,7 +131,7 @@
   CHECK(fixture.keys_of(fast) > 1.8 * static_cast<double>(fixture.keys_of(fixture.targets[0])));
 }
 
-TEST_CASE("a leaving owner is emptied, and nothing else moves") {
+TEST_CASE("a leaving owner is drained, and nothing else moves") {
   Fixture fixture(5);
   fixture.settle(false);
   fixture.apply(MarkLeaving{fixture.targets[2], true, false});
@@ -156,9 +156,9 @@
   CHECK(fixture.plan(true).empty());
 }
 
-// Guards against moves that follow chance: in the first moments of a leader's loads each key was
-// asked for once at most, and dozens of single keys moved, each without an owner for a while.
-TEST_CASE("keys that were asked for once are no reason to move them") {
+// Guards against moves that react to noise: when a leader has just started to observe loads, each
+// key has at most one request, and dozens of single keys moved, each without an owner for a while.
+TEST_CASE("keys with one request each are not moved") {
   Fixture fixture(8);
   fixture.settle(false);
   const std::map<std::uint32_t, RangeRecord> before = fixture.ranges();
@@ -174,7 +174,7 @@
   CHECK_FALSE(fixture.plan(true).moves.empty());
 }
 
-TEST_CASE("a dense cluster of busy keys is spread, and few keys move") {
+TEST_CASE("a dense cluster of busy keys is spread by moving few keys") {
   Fixture fixture(10);
   fixture.settle(false);
   for (int i = 0; i < 5; ++i) {
@@ -197,7 +197,7 @@
   CHECK(moved < config::kKeyCount / 20);
 }
 
-TEST_CASE("a key busier than a target's share gets the fastest target for itself") {
+TEST_CASE("a key with more load than a target's share gets the fastest target exclusively") {
   Fixture fixture(6);
   const BackendId fast = fixture.add_target(2.0);
   fixture.settle(false);
@@ -214,7 +214,7 @@
   CHECK(fixture.keys_of(fast) == 1);
 }
 
-TEST_CASE("a burst that exceeds all smoothed load makes no plan of single keys") {
+TEST_CASE("a burst above all smoothed load does not cause a plan of single keys") {
   Fixture fixture(14);
   fixture.settle(false);
   fixture.report(5, 5, 400);
@@ -224,7 +224,7 @@
   CHECK(plan.moves.size() < 60);
 }
 
-TEST_CASE("a target that has lost everything is given keys again") {
+TEST_CASE("a target without keys is given keys") {
   Fixture fixture(4);
   fixture.settle(false);
   const BackendId empty = fixture.add_target(1.0);
@@ -245,7 +245,7 @@
   CHECK(fixture.plan(true).empty());
 }
 
-TEST_CASE("neighbours of one owner are joined, those of two owners and moving ones are not") {
+TEST_CASE("adjacent ranges of one owner are joined, those of two owners and moving ones are not") {
   Fixture fixture(2);
   const BackendId x = fixture.targets[0];
   const BackendId y = fixture.targets[1];
@@ -270,7 +270,7 @@
   }
 }
 
-TEST_CASE("idle keys between two ranges of one owner go back to it, busy ones stay") {
+TEST_CASE("idle keys between two ranges of one owner move to that owner, busy ones stay") {
   Fixture fixture(2);
   const BackendId x = fixture.targets[0];
   const BackendId y = fixture.targets[1];
@@ -279,7 +279,7 @@
   fixture.assign({1000, 1009}, y);
   fixture.assign({2000, 2009}, y);
   for (int i = 0; i < 5; ++i) {
-    fixture.report(2000, 2009, 5);  // busy now
+    fixture.report(2000, 2009, 5);  // busy
     fixture.report(10'000, 10'049, 1);
     fixture.report(40'000, 40'099, 1);
     fixture.fold();
@@ -293,7 +293,7 @@
   }
 }
 
-TEST_CASE("balance splits no more ranges than targets can be renewed for") {
+TEST_CASE("balancing splits no ranges above the limit per target") {
   Fixture fixture(6);
   fixture.settle(false);
   for (std::uint32_t turn = 0; turn < 30; ++turn) {
@@ -307,7 +307,8 @@
   CHECK(fixture.ranges().size() <= 6 * 4 + 2);
 }
 
-TEST_CASE("keys move for balance only from owners that can be told, but leaving ones are emptied") {
+TEST_CASE(
+    "balancing moves keys only off owners that can be notified, but leaving owners are drained") {
   Fixture cell(4);
   cell.settle(false);
   const BackendId owner = cell.ranges().begin()->second.owner;
@@ -316,7 +317,7 @@
     cell.report(first, first + 40, 30);
     cell.fold();
   }
-  cell.out_of_hearing = {owner};
+  cell.unnotifiable = {owner};
   for (const RangeMove& move : cell.plan(true).moves) {
     CHECK(cell.state.routed_services().at(cell.service).ranges.record_of(move.keys.first).owner !=
           owner);
@@ -324,58 +325,58 @@
   cell.apply(MarkLeaving{owner, true, false});
   CHECK_FALSE(cell.plan(false).moves.empty());
   cell.apply(MarkLeaving{owner, false, false});
-  cell.out_of_hearing.clear();
+  cell.unnotifiable.clear();
   CHECK_FALSE(cell.plan(true).moves.empty());
 }
 
-/// Four owners with a quarter of the keys each, all keys alike.
-void share_alike(Fixture& fixture, std::uint32_t rate) {
+/// Assigns a quarter of the keys to each of four owners, with evenly distributed load.
+void assign_evenly(Fixture& fixture, std::uint32_t requests) {
   constexpr std::uint32_t kQuarter = config::kKeyCount / 4;
   for (std::uint32_t i = 0; i < 4; ++i) {
     fixture.assign({i * kQuarter, (i + 1) * kQuarter - 1}, fixture.targets[i]);
   }
   for (int second = 0; second < 5; ++second) {
     for (std::uint32_t key = 0; key < config::kKeyCount; key += 512) {
-      fixture.report(key, key, rate);
+      fixture.report(key, key, requests);
     }
     fixture.fold();
   }
 }
 
-TEST_CASE("an owner that may be given few requests keeps keys for no more") {
+TEST_CASE("an owner with a maximum load keeps keys with about that load") {
   Fixture fixture(4);
-  share_alike(fixture, 1);  // 32 a second each
-  fixture.bounds[fixture.targets[0]] = 2;
+  assign_evenly(fixture, 1);  // 32 requests per second each
+  fixture.max_loads[fixture.targets[0]] = 2;
   fixture.settle(true);
   CHECK(fixture.load_of(fixture.targets[0]) <= 2.5);
-  CHECK(fixture.load_of(fixture.targets[0]) > 0);  // it is asked now and then
+  CHECK(fixture.load_of(fixture.targets[0]) > 0);  // it still gets some requests
   for (std::size_t i = 1; i < 4; ++i) {
     CHECK(fixture.load_of(fixture.targets[i]) < 1.4 * 128 / 3);
   }
 }
 
-TEST_CASE("a bound that one key exceeds does not keep others from being balanced") {
+TEST_CASE("a maximum load below that of one key does not prevent balancing of other targets") {
   Fixture fixture(4);
-  share_alike(fixture, 1);
+  assign_evenly(fixture, 1);
   for (int second = 0; second < 5; ++second) {
-    fixture.report(3, 3, 6);  // at the bounded target
+    fixture.report(3, 3, 6);  // at the target with a maximum load
     fixture.report(40'000, 40'000, 1);
     for (std::uint32_t key = 49'152; key < config::kKeyCount; key += 512) {
       fixture.report(key, key, 4);  // the last target is overloaded
     }
     fixture.fold();
   }
-  fixture.bounds[fixture.targets[0]] = 1;
+  fixture.max_loads[fixture.targets[0]] = 1;
   fixture.settle(true);
   CHECK(fixture.load_of(fixture.targets[0]) <= 6.5);
   CHECK(fixture.load_of(fixture.targets[3]) < 100);
 }
 
-TEST_CASE("where all owners are bounded, all keep keys") {
+TEST_CASE("if all owners have a maximum load, all keep keys") {
   Fixture fixture(4);
-  share_alike(fixture, 1);
+  assign_evenly(fixture, 1);
   for (const BackendId target : fixture.targets) {
-    fixture.bounds[target] = 3;
+    fixture.max_loads[target] = 3;
   }
   fixture.settle(true);
   for (const BackendId target : fixture.targets) {
@@ -383,7 +384,7 @@
   }
 }
 
-TEST_CASE("demand is not low while loads are young, and follows a jump at once") {
+TEST_CASE("demand is not too low shortly after clear() and follows a jump immediately") {
   KeyLoads loads(std::chrono::milliseconds(3000));
   const ServiceId service(1);
   loads.clear(at(0));
