--- a/src/ownership/grant_manager.cpp
+++ b/src/ownership/grant_manager.cpp
@@ -8,7 +8,7 @@
 namespace planktray::ownership {
 namespace {
 
-/// The back end, unless its process is known to have ended.
+/// Returns the back end, or nullptr if it is unknown or its process has ended.
 const BackendRecord* running_backend(const CellState& state, BackendId id) {
   const BackendRecord* backend = state.find_backend(id);
   return backend == nullptr || backend->ended ? nullptr : backend;
@@ -39,7 +39,7 @@
   return "unanswered";
 }
 
-Duration GrantManager::true_time(Duration hold) const {
+Duration GrantManager::max_duration(Duration hold) const {
   const double holder_time = static_cast<double>(hold.count());
   const auto longest = static_cast<Duration::rep>(holder_time / (1.0 - options_.clock_error));
   return Duration(longest) + options_.margin;
@@ -47,31 +47,31 @@
 
 Duration GrantManager::wanted_hold(const CellState& state) const {
   const Duration wanted = options_.hold_per_owner * static_cast<std::int64_t>(owners_);
-  // A hold that was used once may still be running somewhere: it never shrinks.
+  // Never shrinks: grants with the longer hold time may still be in use.
   return std::clamp(wanted, std::max<Duration>(options_.hold_time, state.grant_terms().hold()),
                     options_.longest_hold_time);
 }
 
 Duration GrantManager::renewal_interval() const {
   constexpr double kMicrosecondsPerSecond = 1e6;
-  const double paced =
+  const double limited =
       kMicrosecondsPerSecond * static_cast<double>(owners_) / options_.renewals_per_second;
-  return std::clamp(Duration(static_cast<Duration::rep>(paced)), hold_ / options_.renewals_per_hold,
-                    hold_ / options_.least_renewals_per_hold);
+  return std::clamp(Duration(static_cast<Duration::rep>(limited)),
+                    hold_ / options_.renewals_per_hold, hold_ / options_.min_renewals_per_hold);
 }
 
 void GrantManager::begin_term(TimePoint now, const CellState& state) {
   active_ = true;
   holdings_.clear();
   orders_.clear();
-  grants_under_way_ = 0;
+  grants_in_flight_ = 0;
   rounds_.clear();
   reach_.clear();
   synced_.reset();
   next_due_ = now;
-  rested_at_ = now;
+  paused_until_ = now;
   hold_ = std::max<Duration>(options_.hold_time, state.grant_terms().hold());
-  earlier_answers_end_ = now + true_time(options_.reported_hold_time);
+  earlier_answers_end_ = now + max_duration(options_.reported_hold_time);
   for (const auto& [id, service] : state.routed_services()) {
     for (const auto& [first, record] : service.ranges.records()) {
       if (record.owner.value == 0) {
@@ -80,16 +80,16 @@
       Holding holding;
       holding.owner = record.owner;
       holding.next_order = now;
-      holding.is_reported = has_heartbeat_grants(state, record.owner);
-      holding.may_hold = true;
-      if (holding.is_reported) {
+      holding.by_heartbeat = has_heartbeat_grants(state, record.owner);
+      holding.may_be_granted = true;
+      if (holding.by_heartbeat) {
         holding.held_until = options_.wait_after_election ? earlier_answers_end_ : now;
       } else if (options_.wait_after_election) {
-        holding.held_until = now + true_time(hold_);
+        holding.held_until = now + max_duration(hold_);
         const auto& in_doubt = state.grant_terms().in_doubt;
         const bool is_marked = std::binary_search(in_doubt.begin(), in_doubt.end(), record.owner);
-        const TimePoint latest = now + options_.late_delivery + true_time(hold_);
-        (is_marked ? holding.doubtful_until : holding.presumed_until) = latest;
+        const TimePoint latest = now + options_.late_delivery + max_duration(hold_);
+        (is_marked ? holding.in_doubt_until : holding.presumed_until) = latest;
       }
       holdings_[{id, record.keys, record.fence}] = holding;
     }
@@ -100,8 +100,8 @@
   if (synced_ == state.ownership_changed()) {
     return;
   }
-  // Entries of an earlier term may be applied only now: its leader may have acted on them.
-  const bool may_be_told = !synced_.has_value();
+  // Entries of an earlier term may be applied only now, after its leader has acted on them.
+  const bool may_include_earlier_grants = !synced_.has_value();
   synced_ = state.ownership_changed();
   next_due_ = now;
   hold_ = std::max<Duration>(options_.hold_time, state.grant_terms().hold());
@@ -113,7 +113,7 @@
       }
       const HoldingKey key{id, record.keys, record.fence};
       Holding holding = derive_holding(now, state, key, record, before);
-      holding.may_hold = holding.may_hold || may_be_told;
+      holding.may_be_granted = holding.may_be_granted || may_include_earlier_grants;
       if (record.moving && !holding.moving) {
         holding.moving = true;
         holding.next_order = now + options_.release_delay;
@@ -123,7 +123,7 @@
   }
   std::set<BackendId> owners;
   for (const auto& [key, holding] : holdings_) {
-    if (!holding.is_reported) {
+    if (!holding.by_heartbeat) {
       owners.insert(holding.owner);
     }
   }
@@ -143,10 +143,12 @@
   Holding holding;
   holding.owner = record.owner;
   holding.next_order = now;
-  holding.is_reported = has_heartbeat_grants(state, record.owner);
-  holding.held_until = now + true_time(holding.is_reported ? options_.reported_hold_time : hold_);
+  holding.by_heartbeat = has_heartbeat_grants(state, record.owner);
+  holding.held_until =
+      now + max_duration(holding.by_heartbeat ? options_.reported_hold_time : hold_);
   bool is_new = true;
-  // A part of a range is held as the whole was; joined ranges as the longest-held of them.
+  // Parts of a split range inherit the times of the whole range; a joined range has the latest
+  // times of its parts.
   for (auto other = before.lower_bound({key.service, {0, 0}, Epoch()});
        other != before.end() && other->first.service == key.service &&
        other->first.keys.first <= key.keys.last;
@@ -158,20 +160,20 @@
       continue;
     }
     holding.held_until = is_new ? held.held_until : std::max(holding.held_until, held.held_until);
-    holding.doubtful_until = std::max(holding.doubtful_until, held.doubtful_until);
+    holding.in_doubt_until = std::max(holding.in_doubt_until, held.in_doubt_until);
     holding.presumed_until = std::max(holding.presumed_until, held.presumed_until);
-    if (held.grants_under_way > 0) {
-      holding.doubtful_until =
-          std::max(holding.doubtful_until, now + options_.late_delivery + true_time(hold_));
+    if (held.grants_in_flight > 0) {
+      holding.in_doubt_until =
+          std::max(holding.in_doubt_until, now + options_.late_delivery + max_duration(hold_));
     }
-    // Under another fence it is another grant, which is asked for at once.
+    // Another fence needs a new grant, which is due immediately.
     holding.established = other->first.fence == key.fence && held.established;
-    holding.told = other->first.fence == key.fence && held.told;
-    holding.may_hold = holding.may_hold || held.may_hold;
-    holding.gone = holding.gone || held.gone;
+    holding.in_last_answer = other->first.fence == key.fence && held.in_last_answer;
+    holding.may_be_granted = holding.may_be_granted || held.may_be_granted;
+    holding.owner_ended = holding.owner_ended || held.owner_ended;
     is_new = false;
   }
-  holding.gone = holding.gone || state.find_backend(record.owner) == nullptr;
+  holding.owner_ended = holding.owner_ended || state.find_backend(record.owner) == nullptr;
   return holding;
 }
 
@@ -182,31 +184,31 @@
   if (!active_) {
     return;
   }
-  if (now < rested_at_) {
+  if (now < paused_until_) {
     return;
   }
   sync(now, state);
   if (now < next_due_) {
     return;
   }
-  rested_at_ = now + std::min<Duration>(
-                         options_.rest_per_holding * static_cast<std::int64_t>(holdings_.size()),
-                         options_.longest_rest);
+  paused_until_ = now + std::min<Duration>(options_.pause_per_holding *
+                                               static_cast<std::int64_t>(holdings_.size()),
+                                           options_.max_pause);
   Outgoing outgoing{grants, releases};
   send_releases(now, state, outgoing);
   send_first_grants(now, state, outgoing);
   send_rounds(now, state, outgoing);
-  find_next_due(now);
+  update_next_due(now);
 }
 
-template <typename Joins>
+template <typename Includes>
 GrantManager::Holdings::iterator GrantManager::end_of_run(Holdings::iterator first,
-                                                          const Joins& joins) {
+                                                          const Includes& includes) {
   auto last = first;
   for (auto next = std::next(first); next != holdings_.end(); ++next) {
     const bool is_next = next->first.service == first->first.service &&
                          next->first.keys.first == last->first.keys.last + 1 &&
-                         next->second.owner == first->second.owner && joins(*next);
+                         next->second.owner == first->second.owner && includes(*next);
     if (!is_next) {
       return next;
     }
@@ -222,7 +224,7 @@
   order.sent = now;
   order.hold = hold_;
   note_sent(id, order);
-  ++grants_under_way_;
+  ++grants_in_flight_;
   outgoing.grants.push_back({id, backend.id, backend.address, backend.incarnation, order.keys,
                              order.fence, hold_, handover});
 }
@@ -230,23 +232,23 @@
 void GrantManager::send_first_grants(TimePoint now, const CellState& state, Outgoing& outgoing) {
   for (auto& [key, holding] : holdings_) {
     if (!may_send_more()) {
-      return;  // the next answer makes room
+      return;  // more are sent after the next reply
     }
-    const bool is_due = !holding.established && !holding.moving && !holding.gone &&
-                        holding.grants_under_way == 0 && now >= holding.next_order;
-    if (!is_due || holding.refused || holding.is_reported) {
+    const bool is_due = !holding.established && !holding.moving && !holding.owner_ended &&
+                        holding.grants_in_flight == 0 && now >= holding.next_order;
+    if (!is_due || holding.refused || holding.by_heartbeat) {
       continue;
     }
     const BackendRecord* backend = running_backend(state, holding.owner);
     const RangeRecord* record = state.find_range(key.service, key.keys, key.fence);
     if (backend == nullptr || record == nullptr) {
-      holding.gone = true;
+      holding.owner_ended = true;
       continue;
     }
-    if (!reach_.may_try(now, holding.owner)) {
+    if (!reach_.may_send(now, holding.owner)) {
       continue;
     }
-    ++holding.grants_under_way;
+    ++holding.grants_in_flight;
     send_grant(now, *backend, {key.service, key.keys, key.fence, {}, {}, {}, false, false},
                record->handover, outgoing);
   }
@@ -262,16 +264,16 @@
   std::vector<std::pair<TimePoint, BackendId>> due;
   for (const auto& [backend, count] : ranges) {
     const Round& round = rounds_[backend];
-    if (round.under_way == 0 && now >= std::max(round.next, reach_.next_try(backend))) {
+    if (round.in_flight == 0 && now >= std::max(round.next, reach_.next_send(backend))) {
       due.emplace_back(round.next, backend);
     }
   }
   std::sort(due.begin(), due.end());
   std::set<BackendId> chosen;
-  std::size_t grants = grants_under_way_;
+  std::size_t grants = grants_in_flight_;
   for (const auto& [since, backend] : due) {
-    if (grants >= options_.grants_under_way) {
-      break;  // the next answer makes room
+    if (grants >= options_.max_grants_in_flight) {
+      break;  // more are sent after the next reply
     }
     chosen.insert(backend);
     grants += ranges[backend];
@@ -290,16 +292,16 @@
     }
     const BackendRecord* backend = running_backend(state, holding.owner);
     if (backend == nullptr) {
-      holding.gone = true;
+      holding.owner_ended = true;
       continue;
     }
-    if (!reach_.may_try(now, holding.owner)) {
+    if (!reach_.may_send(now, holding.owner)) {
       continue;
     }
     Round& round = rounds_[holding.owner];
     round.next = now + renewal_interval();
-    ++round.under_way;
-    ++holding.grants_under_way;
+    ++round.in_flight;
+    ++holding.grants_in_flight;
     send_grant(now, *backend, {key.service, key.keys, key.fence, {}, {}, {}, false, true}, "",
                outgoing);
   }
@@ -308,8 +310,8 @@
 void GrantManager::send_releases(TimePoint now, const CellState& state, Outgoing& outgoing) {
   for (auto first = holdings_.begin(); first != holdings_.end();) {
     const auto may_release = [&](const auto& item) {
-      return item.second.moving && !item.second.released && !item.second.gone &&
-             !item.second.is_reported && now >= item.second.next_order;
+      return item.second.moving && !item.second.released && !item.second.owner_ended &&
+             !item.second.by_heartbeat && now >= item.second.next_order;
     };
     if (!may_release(*first)) {
       ++first;
@@ -319,11 +321,11 @@
     const BackendRecord* backend = running_backend(state, first->second.owner);
     const RangeRecord* record = state.find_range(key.service, key.keys, key.fence);
     if (backend == nullptr || record == nullptr) {
-      first->second.gone = true;
+      first->second.owner_ended = true;
       ++first;
       continue;
     }
-    if (!reach_.may_try(now, backend->id)) {
+    if (!reach_.may_send(now, backend->id)) {
       ++first;
       continue;
     }
@@ -338,7 +340,7 @@
     Order order{key.service, key.keys, fence, backend->id, now, Duration(0), true, false};
     for (auto item = first; item != end; ++item) {
       order.keys.last = item->first.keys.last;
-      Duration& wait = item->second.release_wait;
+      Duration& wait = item->second.release_backoff;
       wait = std::max(2 * wait, options_.release_interval);
       item->second.next_order = now + wait;
     }
@@ -349,31 +351,32 @@
   }
 }
 
-void GrantManager::find_next_due(TimePoint now) {
+void GrantManager::update_next_due(TimePoint now) {
   next_due_ = TimePoint::max();
   for (const auto& [key, holding] : holdings_) {
-    if (holding.released || holding.gone) {
+    if (holding.released || holding.owner_ended) {
       continue;
     }
-    const bool is_ungranted = !holding.established && holding.grants_under_way == 0;
+    const bool is_ungranted = !holding.established && holding.grants_in_flight == 0;
     const bool waits_for_order = holding.moving || (is_ungranted && may_send_more());
-    const bool is_sent_later = holding.is_reported && holding.moving && holding.next_order > now;
-    if ((waits_for_order && !holding.refused && !holding.is_reported) || is_sent_later) {
-      next_due_ = std::min(next_due_, std::max(holding.next_order, reach_.next_try(holding.owner)));
+    const bool notifies_later = holding.by_heartbeat && holding.moving && holding.next_order > now;
+    if ((waits_for_order && !holding.refused && !holding.by_heartbeat) || notifies_later) {
+      next_due_ =
+          std::min(next_due_, std::max(holding.next_order, reach_.next_send(holding.owner)));
     }
-    const TimePoint turn =
+    const TimePoint deadline =
         holding.moving ? holding.held_until : holding.held_until - options_.withdraw_before_end;
-    next_due_ = turn > now ? std::min(next_due_, turn) : next_due_;
+    next_due_ = deadline > now ? std::min(next_due_, deadline) : next_due_;
   }
   for (const auto& [backend, round] : rounds_) {
-    if (round.under_way == 0 && may_send_more()) {
-      next_due_ = std::min(next_due_, std::max(round.next, reach_.next_try(backend)));
+    if (round.in_flight == 0 && may_send_more()) {
+      next_due_ = std::min(next_due_, std::max(round.next, reach_.next_send(backend)));
     }
   }
 }
 
 void GrantManager::note_sent(OrderId id, Order order) {
-  order.is_try = reach_.note_sent(order.backend);
+  order.is_probe = reach_.note_sent(order.backend);
   orders_[id] = order;
 }
 
@@ -385,16 +388,17 @@
 
 // ---------------------------------------------------------------- replies
 
-void GrantManager::note_reach(TimePoint now, const Order& order, const OrderReply& reply) {
-  if (order.is_try) {
-    reach_.note_try_ended();
+void GrantManager::note_reachability(TimePoint now, const Order& order, const OrderReply& reply) {
+  if (order.is_probe) {
+    reach_.note_probe_ended();
   }
   if (reply.outcome == OrderOutcome::kNotSent) {
-    return reach_.note_unreached(now, order.backend, order.sent);
+    return reach_.note_unreachable(now, order.backend, order.sent);
   }
-  // One that takes connections and does not answer may carry orders out late: that says nothing.
+  // A back end that accepts connections without replying may execute orders late: its reachability
+  // stays unchanged.
   if (reply.outcome != OrderOutcome::kUnanswered && reach_.note_answer(order.backend)) {
-    rounds_[order.backend].next = now;  // what was put off is due at once
+    rounds_[order.backend].next = now;  // postponed renewals are due immediately
   }
 }
 
@@ -405,45 +409,45 @@
     return std::nullopt;
   }
   const Order order = found->second;
-  const bool made_room = !may_send_more();
+  const bool was_at_limit = !may_send_more();
   orders_.erase(found);
-  grants_under_way_ -= order.is_release ? 0 : 1;
-  note_reach(now, order, reply);
-  for (auto item = first_holding_at(order);
+  grants_in_flight_ -= order.is_release ? 0 : 1;
+  note_reachability(now, order, reply);
+  for (auto item = first_affected_holding(order);
        item != holdings_.end() && item->first.service == order.service &&
        item->first.keys.first <= order.keys.last;
        ++item) {
     const HoldingKey& key = item->first;
     Holding& holding = item->second;
-    const bool concerned =
+    const bool is_affected =
         key.fence <= order.fence && key.keys.overlaps(order.keys) && holding.owner == order.backend;
-    if (!concerned) {
+    if (!is_affected) {
       continue;
     }
-    holding.gone = holding.gone || reply.outcome == OrderOutcome::kReplaced;
+    holding.owner_ended = holding.owner_ended || reply.outcome == OrderOutcome::kReplaced;
     if (!order.is_release) {
-      holding.grants_under_way -= holding.grants_under_way > 0 ? 1 : 0;
-      take_grant_reply(now, order, reply, key, holding);
+      holding.grants_in_flight -= holding.grants_in_flight > 0 ? 1 : 0;
+      apply_grant_reply(now, order, reply, key, holding);
     } else if (order.keys.contains(key.keys)) {
-      take_release_reply(now, reply, holding);
+      apply_release_reply(now, reply, holding);
     }
   }
   const auto round = rounds_.try_emplace(order.backend, Round{now + renewal_interval(), 0}).first;
-  if (order.is_round) {
-    round->second.under_way -= round->second.under_way > 0 ? 1 : 0;
+  if (order.is_renewal) {
+    round->second.in_flight -= round->second.in_flight > 0 ? 1 : 0;
     if (reply.outcome == OrderOutcome::kUnanswered || reply.outcome == OrderOutcome::kNotSent) {
       round->second.next =
           std::min(round->second.next, std::max(now, order.sent + options_.retry_interval));
     }
   }
-  const bool changes_nothing_else =
-      order.is_round && reply.outcome == OrderOutcome::kAccepted && !made_room;
-  next_due_ = changes_nothing_else ? std::min(next_due_, round->second.next) : now;
+  const bool affects_only_round =
+      order.is_renewal && reply.outcome == OrderOutcome::kAccepted && !was_at_limit;
+  next_due_ = affects_only_round ? std::min(next_due_, round->second.next) : now;
   return order.backend;
 }
 
-GrantManager::Holdings::iterator GrantManager::first_holding_at(const Order& order) {
-  // Ranges of one service do not overlap: the one that holds the first key, or the next.
+GrantManager::Holdings::iterator GrantManager::first_affected_holding(const Order& order) {
+  // Ranges of one service do not overlap: this is the range with the first key, or the next one.
   auto found = holdings_.lower_bound({order.service, {order.keys.first, 0}, Epoch()});
   if (found != holdings_.begin() && std::prev(found)->first.service == order.service) {
     --found;
@@ -451,11 +455,11 @@
   return found;
 }
 
-void GrantManager::take_grant_reply(TimePoint now, const Order& order, const OrderReply& reply,
-                                    const HoldingKey& key, Holding& holding) const {
+void GrantManager::apply_grant_reply(TimePoint now, const Order& order, const OrderReply& reply,
+                                     const HoldingKey& key, Holding& holding) const {
   switch (reply.outcome) {
     case OrderOutcome::kAccepted:
-      holding.held_until = std::max(holding.held_until, now + true_time(order.hold));
+      holding.held_until = std::max(holding.held_until, now + max_duration(order.hold));
       holding.presumed_until = TimePoint();
       if (key.fence == order.fence) {
         holding.refused = false;
@@ -463,9 +467,9 @@
       }
       break;
     case OrderOutcome::kUnanswered:
-      // It may have waited for others before it was sent.
-      holding.doubtful_until =
-          std::max(holding.doubtful_until, now + options_.late_delivery + true_time(order.hold));
+      // It may have been queued behind other orders before it was sent.
+      holding.in_doubt_until =
+          std::max(holding.in_doubt_until, now + options_.late_delivery + max_duration(order.hold));
       holding.next_order = std::max(now, order.sent + options_.retry_interval);
       break;
     case OrderOutcome::kFenced:
@@ -480,8 +484,8 @@
   }
 }
 
-void GrantManager::take_release_reply(TimePoint now, const OrderReply& reply,
-                                      Holding& holding) const {
+void GrantManager::apply_release_reply(TimePoint now, const OrderReply& reply,
+                                       Holding& holding) const {
   if (reply.outcome == OrderOutcome::kAccepted) {
     holding.released = true;
     holding.handover = reply.handover;
@@ -498,9 +502,9 @@
       continue;
     }
     const BackendRecord* backend = state.find_backend(holding.owner);
-    const bool ended = holding.gone || backend == nullptr || backend->ended;
-    const bool runs_out = now + options_.withdraw_before_end >= holding.held_until;
-    if (ended || holding.refused || runs_out) {
+    const bool has_ended = holding.owner_ended || backend == nullptr || backend->ended;
+    const bool is_expiring = now + options_.withdraw_before_end >= holding.held_until;
+    if (has_ended || holding.refused || is_expiring) {
       moves.push_back({key.service, key.keys, key.fence, BackendId()});
     }
   }
@@ -522,29 +526,29 @@
     return {true, holding.handover};
   }
   const BackendRecord* backend = state.find_backend(record.owner);
-  const bool was_never_told = holding.is_reported && !holding.may_hold;
-  if (holding.gone || backend == nullptr || backend->ended || was_never_told) {
+  const bool was_never_granted = holding.by_heartbeat && !holding.may_be_granted;
+  if (holding.owner_ended || backend == nullptr || backend->ended || was_never_granted) {
     return {true, ""};
   }
-  const bool answered_ended = now >= holding.held_until || !options_.wait_for_answered;
-  const bool none_in_doubt = now >= std::max(holding.doubtful_until, holding.presumed_until) &&
-                             holding.grants_under_way == 0;
-  return {answered_ended && (none_in_doubt || !options_.wait_for_unanswered), ""};
+  const bool answered_expired = now >= holding.held_until || !options_.wait_for_answered;
+  const bool none_in_doubt = now >= std::max(holding.in_doubt_until, holding.presumed_until) &&
+                             holding.grants_in_flight == 0;
+  return {answered_expired && (none_in_doubt || !options_.wait_for_unanswered), ""};
 }
 
 std::vector<BackendId> GrantManager::holders_in_doubt(TimePoint now) const {
-  std::set<BackendId> doubtful;
+  std::set<BackendId> in_doubt;
   for (const auto& [id, order] : orders_) {
     if (!order.is_release && now - order.sent >= options_.doubt_after) {
-      doubtful.insert(order.backend);
+      in_doubt.insert(order.backend);
     }
   }
   for (const auto& [key, holding] : holdings_) {
-    if (holding.doubtful_until > now && !holding.released && !holding.gone) {
-      doubtful.insert(holding.owner);
+    if (holding.in_doubt_until > now && !holding.released && !holding.owner_ended) {
+      in_doubt.insert(holding.owner);
     }
   }
-  return {doubtful.begin(), doubtful.end()};
+  return {in_doubt.begin(), in_doubt.end()};
 }
 
 }  // namespace planktray::ownership
--- a/src/ownership/grant_manager.hpp
+++ b/src/ownership/grant_manager.hpp
@@ -1,28 +1,30 @@
 #pragma once
-/// The leader's side of fenced grants: keys are granted to a back end for a time that runs from the
-/// arrival of the order, and are given to another one only when the first cannot use them.
+/// The leader's side of fenced grants: keys are granted to a back end for a time that counts from
+/// the arrival of the order there. They are assigned to another back end only when the first one
+/// can no longer use them.
 ///
 /// Safety argument (docs/PROOF.md). Keys pass from X to Y only after one of:
-///  - X answered a release under a fence above its grant's: it runs nothing on them, and refuses
-///    every older order that is still under way;
-///  - X's process has ended for certain: another incarnation answers at its address;
-///  - every order that X may have taken has run out, on a clock that is slow by `clock_error`: an
-///    answered one counts from its answer, one without an answer from the latest moment at which it
-///    may still be taken.
-/// A round of renewals goes on a connection that was opened for it, a release on one of its own, so
-/// that an order to a machine that is gone or cut off is known not to have been sent: the
-/// connection never comes up. A new leader does not know the orders of the one before: it takes all
-/// that may have been sent until its election as answered then; and one more as without an answer
-/// at each back end that the state marks as in doubt, or that has not answered the new leader yet.
-/// (The mark may come too late: the one before may have ended between an order and the commit of
-/// its mark.)
+///  - X accepted a release under a higher fence than its grant's: X runs no requests for these keys
+///    and refuses all older orders that are still in flight;
+///  - X's process has certainly ended: another incarnation replies at its address;
+///  - every order that X may have accepted has expired, even if X's clock is slow by `clock_error`:
+///    an order with a reply counts from the reply, one without from the latest time at which it may
+///    still be accepted.
+/// Each round of renewals and each release uses a connection of its own, opened for it. If the
+/// machine is down or partitioned off, the connection is never established, so the order is known
+/// not to have been sent. A new leader does not know the orders of its predecessor: it assumes that
+/// all orders sent until its election were accepted at that time. It also assumes one unanswered
+/// order at each back end that the state marks as in doubt or that has not yet replied to the new
+/// leader. (The mark alone is not enough: the predecessor may have ended between sending an order
+/// and committing the mark.)
 ///
-/// Back ends of another kind hear what they hold in the answers to their heartbeats, which state
-/// all of it, for a time that runs from the sending of the heartbeat. Keys pass on from them after
-///  - a heartbeat that no longer lists them, where the leader has given all answers that it could
-///    have come after (grant_manager_reports.cpp); or
-///  - the end of their process, as above; or
-///  - the end of the longest hold that was told, counted from the arrival of its heartbeat.
+/// Other back ends receive their grants in the responses to their heartbeats. Each response lists
+/// all keys that the back end holds, for a time that counts from the sending of the heartbeat. Keys
+/// of such a back end pass on after one of:
+///  - a heartbeat that no longer lists them, if the leader itself has sent all responses that the
+///    back end may have received before it (grant_manager_reports.cpp);
+///  - the end of the back end's process, as above;
+///  - the end of the longest hold time that was granted, counted from the arrival of the heartbeat.
 
 #include <algorithm>
 #include <cstdint>
@@ -44,65 +46,67 @@
 using common::TimePoint;
 
 struct GrantOptions {
-  /// How long a grant holds from its arrival, where back ends are few.
+  /// How long a grant holds from its arrival if there are few owners.
   Duration hold_time = std::chrono::milliseconds(2500);
-  /// Beyond a certain number of owners, grants hold longer by this much for each, so that the
-  /// renewals a second stay bounded; never longer than `longest_hold_time`.
+  /// With many owners, the hold time is this multiplied by their number, which bounds the renewals
+  /// per second; at most `longest_hold_time`.
   Duration hold_per_owner = std::chrono::milliseconds(64);
   Duration longest_hold_time = std::chrono::milliseconds(9000);
-  /// A grant is renewed so many times within its hold, or fewer where owners are so many that all
-  /// together would make more than `renewals_per_second`.
+  /// Renewals of a grant within its hold time; fewer if all owners together would exceed
+  /// `renewals_per_second`.
   std::int64_t renewals_per_hold = 4;
-  /// Never fewer: one renewal may be lost, and there is time to repeat it.
-  std::int64_t least_renewals_per_hold = 2;
-  /// Each is a connection of its own, about 0.3 ms of a leader's processor time.
+  /// Lower limit: if one renewal is lost, there is still time to repeat it.
+  std::int64_t min_renewals_per_hold = 2;
+  /// Each renewal opens a connection, which costs a leader about 0.3 ms of processor time.
   double renewals_per_second = 200;
-  /// Grants under way at once: a new leader has as many to send as there are ranges, and must not
-  /// let them wait for each other until they time out.
-  std::size_t grants_under_way = 24;
-  /// How owners out of reach are tried. Its places for tries are among `grants_under_way`.
+  /// Limit of grants in flight. A new leader has a grant to send for each range, and these must not
+  /// delay each other until they time out.
+  std::size_t max_grants_in_flight = 24;
+  /// Backoff for unreachable owners. Its probes count towards `max_grants_in_flight`.
   ReachOptions reach;
-  /// Orders are made at most this often for each range that is held: every look goes through all.
-  /// 20 ms with 500 ranges; with half of it, looks were 7% of a leader's decisions.
-  Duration rest_per_holding = std::chrono::microseconds(40);
-  /// Never longer: a new leader tells all owners a few grants at a time, one look after the other.
-  Duration longest_rest = std::chrono::milliseconds(25);
-  /// An order without an answer is repeated after this time.
+  /// Minimum interval between passes that create orders, per range that is held, as each pass
+  /// iterates over all ranges. With 500 ranges the interval is 20 ms; with half of it, the passes
+  /// took 7% of a leader's time for decisions.
+  Duration pause_per_holding = std::chrono::microseconds(40);
+  /// Limit of that interval: a new leader needs several passes to send grants to all owners.
+  Duration max_pause = std::chrono::milliseconds(25);
+  /// An order without a reply is repeated after this time.
   Duration retry_interval = std::chrono::milliseconds(200);
-  /// A holder's clock may run slow by this fraction.
+  /// Fraction by which a holder's clock may be slow.
   double clock_error = 0.02;
-  /// Added to every wait, for what the fraction does not cover.
+  /// Added to every wait, for delays that `clock_error` does not cover.
   Duration margin = std::chrono::milliseconds(30);
-  /// An order without an answer may be taken this much after it was given up.
+  /// How long after its timeout an order without a reply may still be accepted.
   Duration late_delivery = std::chrono::milliseconds(12'500);
-  /// A holder that cannot be renewed loses its requests this long before its grant ends.
+  /// Routers stop sending to a holder that cannot be renewed this long before its grant ends.
   Duration withdraw_before_end = std::chrono::milliseconds(100);
-  /// Routers get this long to stop sending before a release goes out.
+  /// Delay of a release, in which routers stop sending requests.
   Duration release_delay = std::chrono::milliseconds(15);
-  /// A release without an answer is sent again beside the first after this time; the next times
-  /// after twice as much each, since releases of one back end may wait for each other.
+  /// A release without a reply is sent again after this time, while the first is still in flight.
+  /// The interval doubles with each repetition, as releases of one back end may wait for each
+  /// other.
   Duration release_interval = std::chrono::milliseconds(400);
-  /// An order that is under way for this long counts as in doubt.
+  /// An order that has been in flight for this long counts as in doubt.
   Duration doubt_after = std::chrono::milliseconds(40);
-  /// How long an answer to a heartbeat holds, from when the heartbeat was sent: three intervals
-  /// between heartbeats of 870 ms. Where the interval is known, it is set from that. All replicas
-  /// must use the same value, as a new leader waits for what the one before may have told.
+  /// How long a grant in the response to a heartbeat holds, from the sending of the heartbeat:
+  /// three heartbeat intervals of 870 ms. If another interval is configured, this is set
+  /// accordingly. All replicas must use the same value, as a new leader waits for grants of its
+  /// predecessor to expire.
   Duration reported_hold_time = std::chrono::milliseconds(2610);
-  /// A back end that does not take keys that so many answers have told it refuses them.
-  std::uint32_t answers_in_vain = 3;
+  /// A back end that ignores a grant in more responses than this refuses it.
+  std::uint32_t max_ignored_answers = 3;
   /// Safeguards; off only in mutants.
-  bool wait_for_answered = true;       ///< wait until answered orders have run out
-  bool wait_for_unanswered = true;     ///< wait until orders without an answer have run out
-  bool wait_after_election = true;     ///< count the orders of earlier leaders
-  bool release_with_new_fence = true;  ///< a release refuses older orders
-  bool wait_for_earlier_answers =
-      true;                            ///< heartbeats prove nothing about answers of leaders before
-  bool respect_reported_holds = true;  ///< keys that a heartbeat lists are not free
+  bool wait_for_answered = true;         ///< wait until orders with a reply have expired
+  bool wait_for_unanswered = true;       ///< wait until orders without a reply have expired
+  bool wait_after_election = true;       ///< take orders of earlier leaders into account
+  bool release_with_new_fence = true;    ///< a release makes the holder refuse older orders
+  bool wait_for_earlier_answers = true;  ///< wait until responses of earlier leaders have expired
+  bool respect_reported_holds = true;    ///< keys that a heartbeat lists are not free
 };
 
 using OrderId = std::uint64_t;
 
-/// Effect: grant these keys, or renew the grant.
+/// Grants keys to a back end or renews the grant.
 struct GrantOrder {
   OrderId id = 0;
   BackendId backend;
@@ -114,7 +118,7 @@
   std::string handover;
 };
 
-/// Effect: take these keys back; answered when what ran on them has ended.
+/// Asks a back end to release keys. The reply comes when the requests running on them have ended.
 struct ReleaseOrder {
   OrderId id = 0;
   BackendId backend;
@@ -126,11 +130,11 @@
 
 enum class OrderOutcome : std::uint8_t {
   kAccepted,
-  kFenced,      ///< it has seen a higher fence
-  kReplaced,    ///< another incarnation answers at the address
-  kRefused,     ///< any other answer
-  kNotSent,     ///< no connection: nothing can have been taken
-  kUnanswered,  ///< it may have been taken, or may still be
+  kFenced,      ///< the back end has seen a higher fence
+  kReplaced,    ///< another incarnation replies at the address
+  kRefused,     ///< any other reply
+  kNotSent,     ///< no connection: the order cannot have been accepted
+  kUnanswered,  ///< the order may have been accepted, or may still be
 };
 
 std::string_view to_string(OrderOutcome outcome);
@@ -138,94 +142,102 @@
 struct OrderReply {
   OrderOutcome outcome = OrderOutcome::kUnanswered;
   std::string handover{};             ///< of an accepted release
-  common::Incarnation answered_by{};  ///< where the answer names it
-  bool is_leaving = false;            ///< the answer says so of the back end that was asked
+  common::Incarnation answered_by{};  ///< empty if the reply does not name it
+  bool is_leaving = false;            ///< whether the reply reports that the back end is leaving
 };
 
-/// True where the back end hears what it holds in the answers to its heartbeats; no orders go to
-/// it.
+/// Returns true if the back end receives its grants in the responses to its heartbeats; no orders
+/// are sent to it.
 bool has_heartbeat_grants(const CellState& state, BackendId id);
 
+/// Keeps the fenced grants of all back ends that hold keys.
 class GrantManager {
  public:
   explicit GrantManager(GrantOptions options) : options_(options), reach_(options.reach) {}
 
-  /// Starts over as the leader of a term.
+  /// Rebuilds the holdings from the state and starts as the leader of a new term.
   void begin_term(TimePoint now, const CellState& state);
   void end_term() { active_ = false; }
 
-  /// Makes the orders that are due. Call only while the leader lease holds.
+  /// Appends the orders that are due. Call only while the leader lease is valid.
   void collect(TimePoint now, const CellState& state, std::vector<GrantOrder>& grants,
                std::vector<ReleaseOrder>& releases);
-  /// The back end has been heard of: if it was out of reach, it is tried at once.
+  /// Notes a sign that the back end is alive. If it was unreachable, orders to it are due
+  /// immediately.
   void note_alive(TimePoint now, BackendId backend);
-  /// True where some owner is out of reach.
+  /// Returns true if any owner is unreachable.
   bool has_unreachable() const { return reach_.has_unreachable(); }
-  /// @return the back end the order was for, or nothing where the order is not known any more.
+  /// @return the back end that the order was sent to, or nothing for an unknown order.
   std::optional<BackendId> on_reply(TimePoint now, OrderId id, const OrderReply& reply);
 
-  /// Notes what a back end says it holds, in a heartbeat that is newer than all before from it.
-  /// Call only while the leader lease holds.
+  /// Processes the holdings that a back end reports in a heartbeat, which must be newer than all
+  /// its earlier ones. Call only while the leader lease is valid.
   void on_holdings_report(TimePoint now, const CellState& state, BackendId backend,
                           const HoldingsReport& report);
-  /// Back ends that are to hold something else than they were told last.
+  /// Returns the back ends whose grants differ from those in the last response to them.
   std::set<BackendId> holders_to_notify(TimePoint now) const;
-  /// All that the back end is to hold, as the answer to its newest heartbeat, which arrived at
-  /// `received`. Call only while the leader lease holds.
+  /// Returns all grants of the back end, for the response to its newest heartbeat, which arrived at
+  /// `received`. Call only while the leader lease is valid.
   GrantedHoldings answer_heartbeat(TimePoint now, TimePoint received, const CellState& state,
                                    BackendId backend);
 
-  /// Keys whose holder cannot or will not hold them on: routers should stop sending, so that they
-  /// can be given away.
+  /// Returns moves for keys whose holder cannot or does not keep them: routers should stop sending
+  /// requests for them, so that they can be reassigned.
   std::vector<RangeMove> withdrawals(TimePoint now, const CellState& state) const;
 
-  /// Whether the keys of a moving range may be given to another owner now.
+  /// Whether the keys of a range may be assigned to another owner now.
   struct Availability {
     bool free = false;
     std::string handover;
   };
   Availability may_assign(TimePoint now, const CellState& state, ServiceId service,
                           const RangeRecord& record) const;
-  /// Back ends that may still take an order that they have not answered, in the order of their ids.
+  /// Returns the back ends that may still accept an unanswered order, sorted by id.
   std::vector<BackendId> holders_in_doubt(TimePoint now) const;
-  /// How long grants should hold for the owners there are; they hold as the state says.
+  /// Returns the hold time that is appropriate for the number of owners. The hold time in use is
+  /// the one in the state.
   Duration wanted_hold(const CellState& state) const;
-  /// When collect() or withdrawals() next has something to do.
-  TimePoint next_due() const { return std::max(next_due_, rested_at_); }
+  /// Returns when collect() or withdrawals() next has something to do.
+  TimePoint next_due() const { return std::max(next_due_, paused_until_); }
   std::size_t holdings() const { return holdings_.size(); }
-  /// True where grants wait for room: moving keys for balance would only make more of them.
-  bool is_busy() const { return 2 * grants_under_way_ >= options_.grants_under_way; }
+  /// Returns true if at least half of the grants that may be in flight are. Balancing should wait
+  /// then, as each move of keys needs more grants.
+  bool is_busy() const { return 2 * grants_in_flight_ >= options_.max_grants_in_flight; }
 
  private:
-  /// What is known of one range at its owner.
   struct HoldingKey {
     ServiceId service;
     KeyRange keys;
     Epoch fence;
     auto operator<=>(const HoldingKey&) const = default;
   };
+  /// What the leader knows about one range at its owner.
   struct Holding {
     BackendId owner;
-    TimePoint held_until;      ///< answered orders have run out then
-    TimePoint doubtful_until;  ///< orders without an answer have run out then
-    TimePoint presumed_until;  ///< the same, while the owner has not answered in this term
-    TimePoint next_order;      ///< a first grant or a release is due then; renewals go by rounds
-    std::size_t grants_under_way = 0;
-    bool established = false;  ///< the owner has accepted it in this term: it is renewed in rounds
-    bool moving = false;       ///< its release has begun
-    bool refused = false;      ///< the owner refuses the grant
-    bool released = false;     ///< the owner has released it under a higher fence
-    bool gone = false;         ///< the owner's process has ended
-    bool is_reported = false;  ///< the owner hears of it in the answers to its heartbeats
-    bool told = false;         ///< such an answer of this term has named it last
-    bool may_hold = false;     ///< such an answer of any term may have named it
-    std::uint32_t told_in_vain = 0;  ///< heartbeats in a row that do not list it though it was told
-    Duration release_wait{0};        ///< until the release is sent once more
+    TimePoint held_until;      ///< orders with a reply have expired by then
+    TimePoint in_doubt_until;  ///< orders without a reply have expired by then
+    TimePoint presumed_until;  ///< orders of earlier leaders without a reply have expired by then;
+                               ///< unset once the owner has accepted a grant in this term
+    TimePoint next_order;      ///< when a first grant or a release is due; renewals go in rounds
+    std::size_t grants_in_flight = 0;
+    bool established = false;     ///< the owner has accepted it in this term: renewed in rounds
+    bool moving = false;          ///< its release has begun
+    bool refused = false;         ///< the owner refuses the grant
+    bool released = false;        ///< the owner has released it under a higher fence
+    bool owner_ended = false;     ///< the owner's process has ended
+    bool by_heartbeat = false;    ///< granted in the responses to heartbeats
+    bool in_last_answer = false;  ///< the last response of this term to the owner granted it
+    bool may_be_granted = false;  ///< a response of any term may have granted it
+    std::uint32_t ignored_answers = 0;  ///< consecutive heartbeats without it after it was granted
+    Duration release_backoff{0};        ///< time until the release is repeated
     std::string handover;
 
-    bool is_renewed() const { return established && !moving && !refused && !gone && !is_reported; }
+    bool is_renewed() const {
+      return established && !moving && !refused && !owner_ended && !by_heartbeat;
+    }
   };
   using Holdings = std::map<HoldingKey, Holding>;
+  /// An order in flight.
   struct Order {
     ServiceId service;
     KeyRange keys;
@@ -234,13 +246,13 @@
     TimePoint sent;
     Duration hold{0};
     bool is_release = false;
-    bool is_round = false;  ///< a renewal
-    bool is_try = false;    ///< its back end was out of reach when it was sent
+    bool is_renewal = false;
+    bool is_probe = false;  ///< its back end was unreachable when it was sent
   };
-  /// Renewals of one back end: of all that it holds at once, so that one connection carries them.
+  /// Renewals of one back end. All its holdings are renewed together, on one connection.
   struct Round {
     TimePoint next;
-    std::size_t under_way = 0;
+    std::size_t in_flight = 0;
   };
   /// The orders of one call of collect().
   struct Outgoing {
@@ -248,52 +260,53 @@
     std::vector<ReleaseOrder>& releases;
   };
 
-  /// The longest that an order with this hold may last, on this clock.
-  Duration true_time(Duration hold) const;
+  /// Returns how long an order with this hold time may last on the leader's clock.
+  Duration max_duration(Duration hold) const;
   Duration renewal_interval() const;
+  /// Updates the holdings after a change of ownership in the state.
   void sync(TimePoint now, const CellState& state);
   Holding derive_holding(TimePoint now, const CellState& state, const HoldingKey& key,
                          const RangeRecord& record, const Holdings& before) const;
   void send_first_grants(TimePoint now, const CellState& state, Outgoing& outgoing);
   void send_rounds(TimePoint now, const CellState& state, Outgoing& outgoing);
-  /// Back ends whose renewals are due, as many as may go out now, the longest due first.
+  /// Returns the back ends whose renewals are due, as many as may be sent now, longest due first.
   std::set<BackendId> due_rounds(TimePoint now);
-  bool may_send_more() const { return grants_under_way_ < options_.grants_under_way; }
+  bool may_send_more() const { return grants_in_flight_ < options_.max_grants_in_flight; }
   void send_releases(TimePoint now, const CellState& state, Outgoing& outgoing);
-  /// Keeps an order that goes out now, under its number.
+  /// Keeps an order that is sent now.
   void note_sent(OrderId id, Order order);
-  /// Notes how the order ended for what is known of its back end's reach.
-  void note_reach(TimePoint now, const Order& order, const OrderReply& reply);
-  /// The end of the run of keys that begins with `first`: neighbours of one owner for which
-  /// `joins` holds.
-  template <typename Joins>
-  Holdings::iterator end_of_run(Holdings::iterator first, const Joins& joins);
+  /// Updates the reachability of the order's back end from the outcome of the order.
+  void note_reachability(TimePoint now, const Order& order, const OrderReply& reply);
+  /// Returns the end of the run of holdings that begins with `first`: adjacent ranges of one owner
+  /// for which `includes` returns true.
+  template <typename Includes>
+  Holdings::iterator end_of_run(Holdings::iterator first, const Includes& includes);
   void send_grant(TimePoint now, const BackendRecord& backend, Order order,
                   const std::string& handover, Outgoing& outgoing);
-  void find_next_due(TimePoint now);
-  /// The first holding that may concern the order.
-  Holdings::iterator first_holding_at(const Order& order);
-  void take_grant_reply(TimePoint now, const Order& order, const OrderReply& reply,
-                        const HoldingKey& key, Holding& holding) const;
-  void take_release_reply(TimePoint now, const OrderReply& reply, Holding& holding) const;
-  void take_report_of_moving(TimePoint now, const HoldingsReport& report, const HoldingKey& key,
+  void update_next_due(TimePoint now);
+  /// Returns the first holding that the order may affect.
+  Holdings::iterator first_affected_holding(const Order& order);
+  void apply_grant_reply(TimePoint now, const Order& order, const OrderReply& reply,
+                         const HoldingKey& key, Holding& holding) const;
+  void apply_release_reply(TimePoint now, const OrderReply& reply, Holding& holding) const;
+  void apply_report_to_moving(TimePoint now, const HoldingsReport& report, const HoldingKey& key,
+                              Holding& holding) const;
+  void apply_report_to_owned(const HoldingsReport& report, const HoldingKey& key,
                              Holding& holding) const;
-  void take_report_of_owned(const HoldingsReport& report, const HoldingKey& key,
-                            Holding& holding) const;
 
   GrantOptions options_;
   bool active_ = false;
-  std::optional<LogIndex> synced_;  ///< change of ownership that the holdings are as of
-  Duration hold_{0};                ///< of the orders that are sent now
-  TimePoint earlier_answers_end_;   ///< what leaders before have told by answers has run out then
+  std::optional<LogIndex> synced_;  ///< index of the ownership change that the holdings reflect
+  Duration hold_{0};                ///< hold time of new orders
+  TimePoint earlier_answers_end_;   ///< grants in responses of earlier leaders have expired by then
   TimePoint next_due_;
-  TimePoint rested_at_;  ///< collect() does nothing before
+  TimePoint paused_until_;  ///< collect() does nothing before
   Holdings holdings_;
   std::map<BackendId, Round> rounds_;
   OwnerReach reach_;
   std::map<OrderId, Order> orders_;
-  std::size_t grants_under_way_ = 0;  ///< of orders_
-  std::size_t owners_ = 0;            ///< back ends that hold something
+  std::size_t grants_in_flight_ = 0;  ///< grants among `orders_`
+  std::size_t owners_ = 0;            ///< back ends that hold keys by orders
   OrderId next_order_ = 1;
 };
 
--- a/src/ownership/grant_manager_reports.cpp
+++ b/src/ownership/grant_manager_reports.cpp
@@ -1,12 +1,12 @@
-/// Grants that are told in the answers to heartbeats, in GrantManager.
+/// Grants of GrantManager that are sent in the responses to heartbeats.
 ///
-/// A back end of this kind has one heartbeat under way, numbers them, and takes an answer only
-/// while its heartbeat is the newest. So a heartbeat that the leader has not seen before shows the
-/// end of all earlier answers: what it does not list as held is not held, and no answer that is
-/// still under way can bring it back. This says nothing of answers of an earlier leader, whose
-/// heartbeats this one did not see: their time has to run out. Time runs from the sending of the
-/// heartbeat, which was before its arrival here, so an answer that comes late holds no longer than
-/// a prompt one.
+/// A back end with such grants numbers its heartbeats, has one in flight at a time, and accepts a
+/// response only to its newest heartbeat. A heartbeat that the leader has not seen before therefore
+/// proves that all earlier responses are void: keys that it does not list are not held, and no
+/// response in flight can grant them again. This does not cover responses of an earlier leader,
+/// whose heartbeats this leader did not see: their hold time has to expire. The hold time counts
+/// from the sending of the heartbeat, which was before its arrival, so a late response does not
+/// hold longer than a prompt one.
 
 #include <algorithm>
 
@@ -17,12 +17,12 @@
 
 bool is_listed(const std::vector<HeldKeys>& held, const KeyRange& keys) {
   return std::any_of(held.begin(), held.end(),
-                     [&](const HeldKeys& row) { return row.keys.overlaps(keys); });
+                     [&](const HeldKeys& listed) { return listed.keys.overlaps(keys); });
 }
 
 bool is_held_under(const std::vector<HeldKeys>& held, const KeyRange& keys, Epoch fence) {
-  return std::any_of(held.begin(), held.end(), [&](const HeldKeys& row) {
-    return row.fence == fence && row.keys.overlaps(keys);
+  return std::any_of(held.begin(), held.end(), [&](const HeldKeys& listed) {
+    return listed.fence == fence && listed.keys.overlaps(keys);
   });
 }
 
@@ -35,40 +35,40 @@
   }
   sync(now, state);
   for (auto& [key, holding] : holdings_) {
-    if (holding.owner != backend || !holding.is_reported) {
+    if (holding.owner != backend || !holding.by_heartbeat) {
       continue;
     }
     if (holding.moving) {
-      take_report_of_moving(now, report, key, holding);
+      apply_report_to_moving(now, report, key, holding);
     } else {
-      take_report_of_owned(report, key, holding);
+      apply_report_to_owned(report, key, holding);
     }
   }
   next_due_ = now;
 }
 
-void GrantManager::take_report_of_moving(TimePoint now, const HoldingsReport& report,
-                                         const HoldingKey& key, Holding& holding) const {
-  for (const ReleasedKeys& row : report.released) {
-    if (row.keys.contains(key.keys)) {
-      holding.handover = row.handover;
+void GrantManager::apply_report_to_moving(TimePoint now, const HoldingsReport& report,
+                                          const HoldingKey& key, Holding& holding) const {
+  for (const ReleasedKeys& listed : report.released) {
+    if (listed.keys.contains(key.keys)) {
+      holding.handover = listed.handover;
     }
   }
-  const bool knows_all_answers = now >= earlier_answers_end_ || !options_.wait_for_earlier_answers;
+  const bool sent_all_answers = now >= earlier_answers_end_ || !options_.wait_for_earlier_answers;
   const bool is_held = is_listed(report.held, key.keys) && options_.respect_reported_holds;
-  if (!is_held && knows_all_answers) {
+  if (!is_held && sent_all_answers) {
     holding.released = true;
   }
 }
 
-void GrantManager::take_report_of_owned(const HoldingsReport& report, const HoldingKey& key,
-                                        Holding& holding) const {
+void GrantManager::apply_report_to_owned(const HoldingsReport& report, const HoldingKey& key,
+                                         Holding& holding) const {
   if (is_held_under(report.held, key.keys, key.fence)) {
     holding.established = true;
-    holding.told_in_vain = 0;
+    holding.ignored_answers = 0;
     return;
   }
-  if (holding.told && ++holding.told_in_vain > options_.answers_in_vain) {
+  if (holding.in_last_answer && ++holding.ignored_answers > options_.max_ignored_answers) {
     holding.refused = true;
   }
 }
@@ -76,12 +76,13 @@
 std::set<BackendId> GrantManager::holders_to_notify(TimePoint now) const {
   std::set<BackendId> holders;
   for (const auto& [key, holding] : holdings_) {
-    if (!holding.is_reported || holding.gone || holding.released) {
+    if (!holding.by_heartbeat || holding.owner_ended || holding.released) {
       continue;
     }
-    const bool must_hear_of_move = holding.moving && holding.told && now >= holding.next_order;
-    const bool must_hear_of_grant = !holding.moving && !holding.told && !holding.refused;
-    if (must_hear_of_move || must_hear_of_grant) {
+    const bool is_move_pending =
+        holding.moving && holding.in_last_answer && now >= holding.next_order;
+    const bool is_grant_pending = !holding.moving && !holding.in_last_answer && !holding.refused;
+    if (is_move_pending || is_grant_pending) {
       holders.insert(holding.owner);
     }
   }
@@ -97,24 +98,24 @@
   }
   sync(now, state);
   for (auto& [key, holding] : holdings_) {
-    if (holding.owner != backend || !holding.is_reported || holding.gone) {
+    if (holding.owner != backend || !holding.by_heartbeat || holding.owner_ended) {
       continue;
     }
-    // Until routers have had time to stop, a range that is to move is held on; no longer, though.
-    const bool is_held_on =
-        holding.moving && holding.told && !holding.released && now < holding.next_order;
-    if (holding.refused || (holding.moving && !is_held_on)) {
-      holding.told = false;
+    // A range that is to move stays granted only until routers have had time to stop sending.
+    const bool is_kept =
+        holding.moving && holding.in_last_answer && !holding.released && now < holding.next_order;
+    if (holding.refused || (holding.moving && !is_kept)) {
+      holding.in_last_answer = false;
       continue;
     }
     const RangeRecord* record = state.find_range(key.service, key.keys, key.fence);
     if (record == nullptr) {
       continue;
     }
-    holding.told = true;
-    holding.may_hold = true;
+    holding.in_last_answer = true;
+    holding.may_be_granted = true;
     holding.held_until =
-        std::max(holding.held_until, received + true_time(options_.reported_hold_time));
+        std::max(holding.held_until, received + max_duration(options_.reported_hold_time));
     answer.ranges.push_back({key.keys, key.fence, holding.established ? "" : record->handover});
   }
   next_due_ = now;
--- a/src/ownership/owner_reach.hpp
+++ b/src/ownership/owner_reach.hpp
@@ -1,9 +1,9 @@
 #pragma once
-/// Which owners of keys are out of reach, and when each may be tried again.
+/// Tracks unreachable owners of keys and their retry backoff.
 ///
-/// Invariant: to an owner to which nothing could be sent, one order goes out at a time, after waits
-/// that double. Without, each of its ranges asked every 200 ms: with 72 owners crashed, 1,300
-/// orders a second failed and took a third of a leader's time.
+/// Invariant: at most one order at a time goes to an unreachable owner, with exponential backoff.
+/// If each range retried on its own every 200 ms, 72 crashed owners would cause 1,300 failed orders
+/// per second, which took a third of a leader's time.
 
 #include <algorithm>
 #include <cstddef>
@@ -15,37 +15,40 @@
 namespace planktray::ownership {
 
 struct ReachOptions {
-  /// The first wait.
+  /// The first backoff.
   common::Duration retry_interval = std::chrono::milliseconds(200);
-  /// Waits double up to this; a heartbeat of the owner ends one early.
-  common::Duration longest_retry_interval = std::chrono::milliseconds(1600);
-  /// Tries under way at once: each waits until its connection is given up, and takes the place of
-  /// an order to an owner that is there.
-  std::size_t tries_under_way = 6;
+  /// Limit of the exponential backoff. A heartbeat of the owner ends a backoff early.
+  common::Duration max_retry_interval = std::chrono::milliseconds(1600);
+  /// Probes in flight: each blocks until its connection attempt times out, and takes up capacity
+  /// for orders to reachable owners.
+  std::size_t max_probes_in_flight = 6;
 };
 
+/// Decides when orders may be sent to unreachable owners. An order to such an owner is a probe.
 class OwnerReach {
  public:
   explicit OwnerReach(ReachOptions options) : options_(options) {}
 
-  /// True where an order may go to the owner now. One that is out of reach gets no other until the
-  /// end of that order is noted, so the caller has to send it.
-  bool may_try(common::TimePoint now, common::BackendId owner);
-  /// Not before this may an order go to the owner.
-  common::TimePoint next_try(common::BackendId owner) const;
-  /// An order goes out. @return true where it is a try at an owner out of reach.
+  /// Returns true if an order may be sent to the owner now. For an unreachable owner, the caller
+  /// has to send that order: no other is allowed until its end is noted or the longest backoff is
+  /// over.
+  bool may_send(common::TimePoint now, common::BackendId owner);
+  /// Returns the earliest time of the next order to the owner.
+  common::TimePoint next_send(common::BackendId owner) const;
+  /// Notes that an order is sent. @return true if it is a probe of an unreachable owner.
   bool note_sent(common::BackendId owner);
-  /// A try has ended, however.
-  void note_try_ended() { --tries_; }
-  /// An order that was sent at `sent` has ended without reaching the owner.
-  void note_unreached(common::TimePoint now, common::BackendId owner, common::TimePoint sent);
-  /// The owner has answered. @return true where it was out of reach before.
+  /// Notes that a probe has ended, with any outcome.
+  void note_probe_ended() { --probes_in_flight_; }
+  /// Notes that an order sent at `sent` has not reached the owner.
+  void note_unreachable(common::TimePoint now, common::BackendId owner, common::TimePoint sent);
+  /// Notes a reply of the owner. @return true if it was unreachable before.
   bool note_answer(common::BackendId owner) { return unreachable_.erase(owner) > 0; }
-  /// The owner was heard of otherwise. @return true where it may be tried at once for that.
+  /// Notes another sign that the owner is alive, which ends its backoff. @return true if the owner
+  /// was unreachable.
   bool note_alive(common::TimePoint now, common::BackendId owner);
   bool has_unreachable() const { return !unreachable_.empty(); }
   void clear();
-  /// Forgets the owners for which `is_removed` holds.
+  /// Drops the owners for which `is_removed` returns true.
   template <typename IsRemoved>
   void forget(const IsRemoved& is_removed) {
     std::erase_if(unreachable_, [&](const auto& item) { return is_removed(item.first); });
@@ -53,14 +56,14 @@
 
  private:
   struct Unreachable {
-    common::TimePoint since;  ///< orders that were sent before say nothing new
-    common::TimePoint next_try;
-    common::Duration wait{0};
+    common::TimePoint since;  ///< failures of orders sent before do not extend the backoff
+    common::TimePoint next_send;
+    common::Duration backoff{0};
   };
 
   ReachOptions options_;
   std::map<common::BackendId, Unreachable> unreachable_;
-  std::size_t tries_ = 0;  ///< under way
+  std::size_t probes_in_flight_ = 0;
 };
 
 }  // namespace planktray::ownership
--- a/test/ownership/grant_manager_reports_test.cpp
+++ b/test/ownership/grant_manager_reports_test.cpp
@@ -1,4 +1,4 @@
-/// Grants that are told in the answers to heartbeats.
+/// Tests of grants that are sent in the responses to heartbeats.
 
 #include <doctest/doctest.h>
 
@@ -13,10 +13,10 @@
 
 constexpr KeyRange kAll;
 constexpr KeyRange kLow{0, 999};
-/// When nothing that an earlier leader has told can hold any more.
+/// Time in ms by which all grants of earlier leaders have expired.
 constexpr std::int64_t kSettled = 3000;
 
-/// One keyed service with two back ends; x owns all keys and has been told so.
+/// One keyed service with two back ends; x owns all keys.
 struct Fixture {
   CellState state;
   GrantOptions options;
@@ -72,8 +72,8 @@
   GrantedHoldings answer(std::int64_t time, BackendId backend) {
     return manager.answer_heartbeat(at(time), at(time), state, backend);
   }
-  /// The owner says it holds all keys, and is told what it is to hold.
-  GrantedHoldings beat_holding_all(std::int64_t time) {
+  /// Reports that x holds all keys, and returns the response.
+  GrantedHoldings heartbeat_with_all_keys(std::int64_t time) {
     report(time, x, {{{kAll, record().fence}}, {}});
     return answer(time, x);
   }
@@ -82,9 +82,9 @@
   }
 };
 
-TEST_CASE("an answer states all that a back end holds, and no order goes to it") {
+TEST_CASE("a response lists all grants of a back end, and no orders are sent to it") {
   Fixture cell;
-  const GrantedHoldings answer = cell.beat_holding_all(10);
+  const GrantedHoldings answer = cell.heartbeat_with_all_keys(10);
   REQUIRE(answer.ranges.size() == 1);
   CHECK(answer.ranges[0].keys == kAll);
   CHECK(answer.ranges[0].fence == cell.record().fence);
@@ -99,7 +99,7 @@
 
 TEST_CASE("keys pass on with their handover once a heartbeat no longer lists them") {
   Fixture cell;
-  cell.beat_holding_all(kSettled);
+  cell.heartbeat_with_all_keys(kSettled);
   cell.begin_move(kLow);
   const Epoch fence = cell.record(5000).fence;
   CHECK(cell.manager.holders_to_notify(at(kSettled + 1)).empty());
@@ -109,7 +109,7 @@
   REQUIRE(answer.ranges.size() == 1);
   CHECK(answer.ranges[0].keys == KeyRange{1000, kAll.last});
   CHECK_FALSE(cell.may_assign(kSettled + 50).free);
-  // Still at work on them, then done.
+  // Requests for these keys are still running, then they have ended.
   cell.report(kSettled + 60, cell.x, {{{kAll, fence}}, {}});
   CHECK_FALSE(cell.may_assign(kSettled + 61).free);
   cell.report(kSettled + 90, cell.x, {{{{1000, kAll.last}, fence}}, {{kLow, "handover"}}});
@@ -121,9 +121,9 @@
   CHECK(granted.ranges[0].handover == "handover");
 }
 
-TEST_CASE("a lost report of a release is made up for by what the next heartbeat leaves out") {
+TEST_CASE("if the report of a release is lost, the next heartbeat without the keys frees them") {
   Fixture cell;
-  cell.beat_holding_all(kSettled);
+  cell.heartbeat_with_all_keys(kSettled);
   cell.begin_move(kAll);
   cell.answer(kSettled + 40, cell.x);
   cell.report(kSettled + 900, cell.x, {});
@@ -131,16 +131,16 @@
   CHECK(cell.may_assign(kSettled + 901).handover.empty());
 }
 
-TEST_CASE("a holder that is not heard any more loses its keys when its time has run out") {
+TEST_CASE("an unresponsive holder loses its keys when its hold time has expired") {
   Fixture cell;
-  cell.beat_holding_all(kSettled);
+  cell.heartbeat_with_all_keys(kSettled);
   cell.begin_move(kAll);
   CHECK_FALSE(cell.may_assign(kSettled + 2610).free);
   CHECK_FALSE(cell.may_assign(kSettled + 2690).free);  // its clock may be slow
   CHECK(cell.may_assign(kSettled + 2700).free);
 }
 
-TEST_CASE("the hold runs from the arrival of the heartbeat, however late its answer is") {
+TEST_CASE("the hold time counts from the arrival of the heartbeat, even if its response is late") {
   Fixture cell;
   cell.report(kSettled, cell.x, {{{kAll, cell.record().fence}}, {}});
   cell.manager.answer_heartbeat(at(kSettled + 500), at(kSettled), cell.state, cell.x);
@@ -148,7 +148,7 @@
   CHECK(cell.may_assign(kSettled + 2700).free);
 }
 
-TEST_CASE("heartbeats say nothing of the answers of an earlier leader") {
+TEST_CASE("heartbeats prove nothing about the responses of an earlier leader") {
   Fixture cell;
   cell.begin_move(kAll);
   cell.report(100, cell.x, {});
@@ -157,9 +157,9 @@
   CHECK(cell.may_assign(kSettled + 1).free);
 }
 
-TEST_CASE("keys that no answer has named yet pass on at once") {
+TEST_CASE("keys that no response has granted yet are free immediately") {
   Fixture cell;
-  cell.beat_holding_all(kSettled);
+  cell.heartbeat_with_all_keys(kSettled);
   cell.begin_move(kAll);
   cell.answer(kSettled + 40, cell.x);
   cell.report(kSettled + 50, cell.x, {});
@@ -171,20 +171,20 @@
   CHECK(cell.may_assign(kSettled + 80).free);
 }
 
-TEST_CASE("keys that were shown to be free are not told again while they wait for an owner") {
+TEST_CASE("keys that are known to be free are not granted again while they have no new owner") {
   Fixture cell;
-  cell.beat_holding_all(kSettled);
+  cell.heartbeat_with_all_keys(kSettled);
   cell.begin_move(kAll);
-  // The answer to the heartbeat before was lost: this one lists nothing.
+  // The response to the previous heartbeat was lost: this heartbeat lists no keys.
   cell.report(kSettled + 1, cell.x, {});
   CHECK(cell.may_assign(kSettled + 2).free);
   CHECK(cell.answer(kSettled + 3, cell.x).ranges.empty());
 }
 
-TEST_CASE("keys that their owner does not take are withdrawn from it") {
+TEST_CASE("keys whose grant the owner ignores are withdrawn") {
   Fixture cell;
   std::int64_t time = 100;
-  for (std::uint32_t i = 0; i <= cell.options.answers_in_vain; ++i, time += 870) {
+  for (std::uint32_t i = 0; i <= cell.options.max_ignored_answers; ++i, time += 870) {
     CHECK(cell.manager.withdrawals(at(time), cell.state).empty());
     cell.report(time, cell.x, {});
     cell.answer(time, cell.x);
@@ -193,9 +193,9 @@
   CHECK(cell.manager.withdrawals(at(time), cell.state).size() == 1);
 }
 
-TEST_CASE("a new incarnation at the address frees the keys of the one before") {
+TEST_CASE("a new incarnation at the address frees the keys of its predecessor") {
   Fixture cell;
-  cell.beat_holding_all(kSettled);
+  cell.heartbeat_with_all_keys(kSettled);
   cell.begin_move(kAll);
   RegisterBackend registration;
   registration.machine = common::MachineName("x2");
--- a/test/ownership/grant_manager_test.cpp
+++ b/test/ownership/grant_manager_test.cpp
@@ -70,7 +70,7 @@
     releases.clear();
     manager.collect(at(time), state, grants, releases);
   }
-  /// Sends the orders that are due and answers all of them so.
+  /// Collects the grants that are due and replies to all of them with `outcome`.
   void run(std::int64_t time, OrderOutcome outcome) {
     collect(time);
     for (const GrantOrder& order : grants) {
@@ -80,14 +80,14 @@
   bool may_assign(std::int64_t time, std::uint32_t key = 0) const {
     return manager.may_assign(at(time), state, service, record(key)).free;
   }
-  /// The longest that an order answered at `time` may hold, on the leader's clock.
+  /// Returns until when an order with a reply at `time` may hold, on the leader's clock.
   std::int64_t end_of_hold(std::int64_t time) const {
     const double hold = static_cast<double>(options.hold_time.count()) / (1 - options.clock_error);
     return time + static_cast<std::int64_t>(hold / 1000) + 31;
   }
 };
 
-TEST_CASE("keys that are held may not be given away") {
+TEST_CASE("keys that are held may not be reassigned") {
   Fixture fixture;
   fixture.run(0, OrderOutcome::kAccepted);
   CHECK_FALSE(fixture.may_assign(100));
@@ -95,7 +95,7 @@
   CHECK_FALSE(fixture.may_assign(100));
 }
 
-TEST_CASE("a release under a higher fence frees keys at once and brings the handover") {
+TEST_CASE("a release under a higher fence frees keys immediately and returns the handover") {
   Fixture fixture;
   fixture.run(0, OrderOutcome::kAccepted);
   const Epoch granted = fixture.record().fence;
@@ -111,7 +111,7 @@
   CHECK(availability.handover == "token");
 }
 
-TEST_CASE("without a release the answered grants run out first, on a slow clock") {
+TEST_CASE("without a release, answered grants have to expire first, on a slow clock") {
   Fixture fixture;
   fixture.run(5000, OrderOutcome::kAccepted);
   fixture.begin_move(kAll);
@@ -120,7 +120,7 @@
   CHECK(fixture.may_assign(end + 1));
 }
 
-TEST_CASE("a grant without an answer may be taken late: its time is waited out too") {
+TEST_CASE("a grant without a reply may be accepted late and has to expire too") {
   Fixture fixture;
   fixture.run(5000, OrderOutcome::kAccepted);
   fixture.run(5700, OrderOutcome::kUnanswered);
@@ -131,7 +131,7 @@
   CHECK(fixture.may_assign(end + 1));
 }
 
-TEST_CASE("a grant that was never sent leaves no doubt") {
+TEST_CASE("a grant that was not sent is not in doubt") {
   Fixture fixture;
   fixture.run(5000, OrderOutcome::kAccepted);
   fixture.run(5700, OrderOutcome::kNotSent);
@@ -139,7 +139,7 @@
   CHECK(fixture.may_assign(fixture.end_of_hold(5001) + 1));
 }
 
-TEST_CASE("an answered release ends the doubt of an older grant") {
+TEST_CASE("an accepted release resolves an older grant that is in doubt") {
   Fixture fixture;
   fixture.run(5000, OrderOutcome::kAccepted);
   fixture.run(5700, OrderOutcome::kUnanswered);
@@ -152,7 +152,7 @@
   CHECK(fixture.manager.holders_in_doubt(at(5831)).empty());
 }
 
-TEST_CASE("a grant that is still under way is in doubt") {
+TEST_CASE("a grant that is still in flight is in doubt") {
   Fixture fixture;
   fixture.run(5000, OrderOutcome::kAccepted);
   fixture.collect(5700);
@@ -163,7 +163,7 @@
   CHECK_FALSE(fixture.may_assign(fixture.end_of_hold(5001) + 1));
 }
 
-TEST_CASE("a release is asked for again while the first has no answer") {
+TEST_CASE("a release is repeated while the first has no reply") {
   Fixture fixture;
   fixture.run(0, OrderOutcome::kAccepted);
   fixture.begin_move(kAll);
@@ -177,7 +177,7 @@
 TEST_CASE("another incarnation at the address proves that the owner has ended") {
   Fixture fixture;
   fixture.run(0, OrderOutcome::kAccepted);
-  SUBCASE("it answers an order") {
+  SUBCASE("it replies to an order") {
     fixture.run(700, OrderOutcome::kReplaced);
     fixture.begin_move(kAll);
     CHECK(fixture.may_assign(701));
@@ -189,13 +189,13 @@
   }
 }
 
-TEST_CASE("a new leader counts what the one before may have granted") {
+TEST_CASE("a new leader takes into account what its predecessor may have granted") {
   Fixture fixture;
   fixture.run(0, OrderOutcome::kAccepted);
   fixture.begin_move(kAll);
   GrantManager next(fixture.options);
   const std::int64_t late = 9000 + fixture.options.late_delivery.count() / 1000;
-  SUBCASE("as taken late by holders that have not answered it") {
+  SUBCASE("as accepted late by holders that have not replied to the new leader") {
     next.begin_term(at(9000), fixture.state);
     fixture.manager = next;
     fixture.collect(9000);
@@ -203,7 +203,7 @@
     CHECK_FALSE(fixture.may_assign(fixture.end_of_hold(late) - 2));
     CHECK(fixture.may_assign(fixture.end_of_hold(late) + 1));
   }
-  SUBCASE("and orders in doubt where the state marks them") {
+  SUBCASE("as accepted late by holders that the state marks as in doubt") {
     fixture.apply(SetGrantTerms{{{fixture.x}, 0}});
     next.begin_term(at(9000), fixture.state);
     fixture.manager = next;
@@ -213,7 +213,7 @@
   }
 }
 
-TEST_CASE("a holder that has answered a new leader is waited for as long as that answer says") {
+TEST_CASE("a holder that has accepted a grant of the new leader holds for the time of that grant") {
   Fixture fixture;
   fixture.run(0, OrderOutcome::kAccepted);
   fixture.manager.begin_term(at(9000), fixture.state);
@@ -224,7 +224,7 @@
   CHECK(fixture.may_assign(fixture.end_of_hold(9002) + 1));
 }
 
-TEST_CASE("the parts of a range are held as the whole was") {
+TEST_CASE("the parts of a split range are held as long as the whole range was") {
   Fixture fixture;
   fixture.run(5000, OrderOutcome::kAccepted);
   const KeyRange part{100, 199};
@@ -232,7 +232,7 @@
   fixture.collect(5002);
   CHECK_FALSE(fixture.may_assign(fixture.end_of_hold(5001) - 2, 100));
   CHECK(fixture.may_assign(fixture.end_of_hold(5001) + 1, 100));
-  // The rest goes on being renewed, as two ranges.
+  // The rest is still renewed, as two ranges.
   fixture.collect(5700);
   CHECK(fixture.grants.size() == 2);
 }
@@ -247,20 +247,20 @@
   CHECK(fixture.manager.withdrawals(at(fixture.end_of_hold(5001) - 90), fixture.state).size() == 1);
 }
 
-TEST_CASE("an owner that has seen a higher fence gets its keys under a new one") {
+TEST_CASE("keys whose owner has seen a higher fence are withdrawn") {
   Fixture fixture;
   fixture.run(0, OrderOutcome::kFenced);
   CHECK(fixture.manager.withdrawals(at(2), fixture.state).size() == 1);
 }
 
-/// A fixture whose first back end owns two neighbouring ranges.
+/// Returns a fixture whose first back end owns two adjacent ranges.
 Fixture fixture_of_two_ranges() {
   Fixture fixture;
   fixture.assign({100, config::kKeyCount - 1}, fixture.x);
   return fixture;
 }
 
-TEST_CASE("all that a back end holds is renewed in one round, and not before it is due") {
+TEST_CASE("all ranges of a back end are renewed in one round, and not before they are due") {
   Fixture fixture = fixture_of_two_ranges();
   fixture.run(0, OrderOutcome::kAccepted);
   CHECK(fixture.grants.size() == 2);
@@ -275,19 +275,19 @@
   CHECK(fixture.grants.empty());
 }
 
-TEST_CASE("many owners are renewed less often, twice within a hold at least") {
+TEST_CASE("many owners are renewed less often, but at least twice within a hold time") {
   GrantOptions options;
-  options.renewals_per_second = 0.01;  // what one owner needs is far above it
+  options.renewals_per_second = 0.01;  // far below what one owner needs
   Fixture fixture(options);
   fixture.run(0, OrderOutcome::kAccepted);
   const std::int64_t hold = options.hold_time.count() / 1000;
   fixture.collect(hold / options.renewals_per_hold + 50);
   CHECK(fixture.grants.empty());
-  fixture.collect(hold / options.least_renewals_per_hold + 2);
+  fixture.collect(hold / options.min_renewals_per_hold + 2);
   CHECK(fixture.grants.size() == 1);
 }
 
-TEST_CASE("a round without an answer is repeated soon") {
+TEST_CASE("a round that was not sent is repeated after the retry interval") {
   Fixture fixture;
   fixture.run(0, OrderOutcome::kAccepted);
   fixture.run(700, OrderOutcome::kNotSent);
@@ -297,11 +297,12 @@
   CHECK(fixture.grants.size() == 1);
 }
 
-TEST_CASE("joined ranges are asked for at once, and held as the longest-held of them") {
+TEST_CASE(
+    "a joined range is granted immediately and held as long as the longest-held of its parts") {
   Fixture fixture = fixture_of_two_ranges();
   fixture.collect(5000);
   REQUIRE(fixture.grants.size() == 2);
-  // The first is answered, the second may be taken late.
+  // The first grant is accepted, the second may be accepted late.
   fixture.manager.on_reply(at(5001), fixture.grants[0].id, {OrderOutcome::kAccepted, ""});
   fixture.manager.on_reply(at(5500), fixture.grants[1].id, {OrderOutcome::kUnanswered, ""});
   ApplyRangePlan plan;
@@ -313,13 +314,13 @@
   CHECK(fixture.grants[0].fence == fixture.record().fence);
   fixture.begin_move(kAll);
   fixture.collect(5600);
-  // From when it was given up: it may have waited before it was sent.
+  // Counts from the timeout: the order may have been queued before it was sent.
   const std::int64_t late = 5500 + fixture.options.late_delivery.count() / 1000;
   CHECK_FALSE(fixture.may_assign(fixture.end_of_hold(late) - 2));
   CHECK(fixture.may_assign(fixture.end_of_hold(late) + 1));
 }
 
-TEST_CASE("grants under way when ranges are joined are in doubt") {
+TEST_CASE("grants in flight when ranges are joined are in doubt") {
   Fixture fixture = fixture_of_two_ranges();
   fixture.run(5000, OrderOutcome::kAccepted);
   fixture.collect(5700);
@@ -331,7 +332,8 @@
   CHECK(fixture.manager.holders_in_doubt(at(5711)) == std::vector{fixture.x});
 }
 
-TEST_CASE("with many owners grants hold longer, once the state says so, and never shorter again") {
+TEST_CASE(
+    "with many owners grants hold longer once the state contains it, and never shorter again") {
   GrantOptions options;
   options.hold_per_owner = milliseconds(3000);
   Fixture fixture(options);
@@ -347,7 +349,7 @@
   fixture.apply(SetGrantTerms{{{}, 8000}});
   CHECK(fixture.manager.wanted_hold(fixture.state) == milliseconds(8000));
 
-  // A new leader waits for the longest that the one before may have given.
+  // A new leader waits for the longest hold time of its predecessor.
   fixture.begin_move(kAll);
   GrantManager next(options);
   next.begin_term(at(9000), fixture.state);
@@ -359,9 +361,9 @@
   CHECK(fixture.may_assign(fixture.end_of_hold(late) + 1));
 }
 
-TEST_CASE("a new leader sends its grants a few at a time, and all of them") {
+TEST_CASE("a new leader sends all its grants, a few at a time") {
   GrantOptions options;
-  options.grants_under_way = 3;
+  options.max_grants_in_flight = 3;
   Fixture fixture(options);
   constexpr std::uint32_t kRanges = 10;
   for (std::uint32_t i = 1; i < kRanges; ++i) {
@@ -383,7 +385,7 @@
     }
   }
   CHECK(sent == kRanges);
-  // Renewals: the back end that has waited longest goes first, one whole round at a time.
+  // Renewals: the back end that is longest due goes first, one whole round at a time.
   fixture.collect(1000);
   CHECK(fixture.grants.size() == 5);
   for (const GrantOrder& order : fixture.grants) {
@@ -391,14 +393,12 @@
   }
 }
 
-/// Seen with 433 owners of keys, 72 of which had crashed: up to 850 grants and 1,300 releases a
-/// second went to machines that were gone, nearly all of them reset or never connected, and took a
-/// third of the leader's time for half a minute. Renewals and acknowledgements of all others waited
-/// behind them, until nobody held keys any more.
-///
-/// How it came about: each range asked for itself again 200 ms after it had failed, without regard
-/// to the other ranges of the same owner or to how often that owner had been out of reach before.
-TEST_CASE("an owner out of reach is not tried once for each of its ranges") {
+/// Guards against retries per range: if each range of a crashed owner retries on its own every 200
+/// ms, without backoff, the orders to crashed owners delay the renewals of all others until no
+/// owner holds keys. With 72 of 433 owners crashed, up to 850 grants and 1,300 releases per second
+/// failed (nearly all reset or not connected) and took a third of the leader's time for half a
+/// minute.
+TEST_CASE("an unreachable owner is not retried for each of its ranges") {
   Fixture fixture;
   constexpr std::uint32_t kRanges = 40;
   constexpr std::uint32_t kWidth = config::kKeyCount / kRanges;
@@ -424,10 +424,10 @@
   CHECK(orders <= 2 * kRanges);
 }
 
-/// Seen with 72 owners that had crashed: each try at one waits 400 ms for a connection, and
-/// together they took most of the 24 places for grants, so that owners that were there waited for
-/// renewals.
-TEST_CASE("tries at owners out of reach leave room for the others") {
+/// Guards against probes that delay renewals of reachable owners: each probe blocks for 400 ms
+/// until its connection attempt times out, and those of 72 crashed owners took most of the 24
+/// grants that may be in flight.
+TEST_CASE("probes of unreachable owners leave capacity for other owners") {
   Fixture fixture;
   constexpr std::uint32_t kOwners = 40;
   constexpr std::uint32_t kWidth = config::kKeyCount / (kOwners + 1);
@@ -438,11 +438,11 @@
   }
   fixture.assign({kOwners * kWidth, config::kKeyCount - 1}, fixture.y);
   std::size_t renewals = 0;
-  std::vector<std::pair<std::int64_t, OrderId>> hanging;
+  std::vector<std::pair<std::int64_t, OrderId>> pending;
   for (std::int64_t time = 0; time < 10'000; time += 10) {
-    while (!hanging.empty() && hanging.front().first <= time) {
-      fixture.manager.on_reply(at(time), hanging.front().second, {OrderOutcome::kNotSent, ""});
-      hanging.erase(hanging.begin());
+    while (!pending.empty() && pending.front().first <= time) {
+      fixture.manager.on_reply(at(time), pending.front().second, {OrderOutcome::kNotSent, ""});
+      pending.erase(pending.begin());
     }
     fixture.collect(time);
     for (const GrantOrder& order : fixture.grants) {
@@ -450,11 +450,11 @@
         ++renewals;
         fixture.manager.on_reply(at(time + 1), order.id, {OrderOutcome::kAccepted, ""});
       } else {
-        hanging.emplace_back(time + 400, order.id);
+        pending.emplace_back(time + 400, order.id);
       }
     }
     if (time >= 2000) {
-      CHECK(hanging.size() <= fixture.options.grants_under_way / 2);
+      CHECK(pending.size() <= fixture.options.max_grants_in_flight / 2);
     }
   }
   CHECK(renewals >= 10);
