--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -30,7 +30,7 @@
   add_settings(app, settings, check_only);
   const bool& check_flag = check_only;
   app.callback([&] {
-    const std::string problem = planktray::controller::check_together(settings);
+    const std::string problem = planktray::controller::validate_settings(settings);
     if (!problem.empty()) {
       throw CLI::ValidationError(problem);
     }
--- a/src/controller/settings.cpp
+++ b/src/controller/settings.cpp
@@ -74,7 +74,7 @@
                    "How often the machine list is read");
 }
 
-std::string check_together(const ControllerSettings& settings) {
+std::string validate_settings(const ControllerSettings& settings) {
   const auto& raft = settings.options.raft;
   const auto& lease = settings.options.lease;
   if (raft.maximum_election_timeout <= raft.minimum_election_timeout) {
--- a/src/controller/settings.hpp
+++ b/src/controller/settings.hpp
@@ -13,6 +13,6 @@
 /// Adds those of the product's own deployment: addresses, peers and the machine list.
 void add_deployment_settings(CLI::App& app, ControllerSettings& settings);
 /// Checks what depends on several settings. @return a message, or nothing.
-std::string check_together(const ControllerSettings& settings);
+std::string validate_settings(const ControllerSettings& settings);
 
 }  // namespace planktray::controller
