--- a/src/controller/controller_process.cpp
+++ b/src/controller/controller_process.cpp
@@ -515,7 +515,7 @@
     log_event(promise.holds() ? "promise_kept_again" : "promise_at_risk",
               {{"promise", promise.name},
                {"promised_ms", ms(promise.promised)},
-               {"worst_ms", ms(promise.worst)},
+               {"worst_ms", ms(promise.worst_case)},
                {"routers", std::to_string(routers)},
                {"reason", promise.reason}});
   }
--- a/src/controller/promises.hpp
+++ b/src/controller/promises.hpp
@@ -18,10 +18,10 @@
 struct Promise {
   std::string name;
   Duration promised{0};
-  Duration worst{0};   ///< that the settings allow
-  std::string reason;  ///< what the worst is made of
+  Duration worst_case{0};  ///< that the settings allow
+  std::string reason;      ///< what the worst is made of
 
-  bool holds() const { return promised.count() == 0 || worst <= promised; }
+  bool holds() const { return promised.count() == 0 || worst_case <= promised; }
 };
 
 /// The longest interval between hellos with which what a new leader acknowledges reaches routers
--- a/test/controller/promises_test.cpp
+++ b/test/controller/promises_test.cpp
@@ -36,7 +36,7 @@
   const PromisedTimes promised{milliseconds(2000), milliseconds(2500), milliseconds(10'000)};
   const auto promises = check_promises(promised, deployed(promised), 10'000);
   CHECK_FALSE(promises[0].holds());
-  CHECK(promises[0].worst > promises[0].promised);
+  CHECK(promises[0].worst_case > promises[0].promised);
   CHECK_FALSE(promises[0].reason.empty());
 }
 
