--- a/src/router/drain_plan.hpp
+++ b/src/router/drain_plan.hpp
@@ -1,9 +1,9 @@
 #pragma once
-/// What a router that stops still takes. A plain decision: times in, yes or no out.
+/// Decides which requests a router still admits while it drains. Pure functions of times.
 ///
-/// Callers go on sending for some seconds after a stop was asked for, until the platform has
-/// noticed. A request that is taken and then cut has lost its caller's time and may have run; one
-/// that is refused before it is sent on can go to another router at once.
+/// After a stop is requested, callers keep sending for some seconds until the platform has noticed
+/// it. A request that is admitted and then aborted has wasted its caller's time and may have run.
+/// A request that is refused before it is forwarded can go to another router immediately.
 
 #include <algorithm>
 #include <optional>
@@ -12,27 +12,29 @@
 
 namespace planktray::router {
 
-/// Allowance for the handling of the signal and for a request's way until it is read: who sent one
-/// before the platform could notice the stop is known only by this much. Below any time for which
-/// connections are taken at a stop; chosen, not measured.
-constexpr common::Duration kDrainReaction = std::chrono::milliseconds(150);
+/// Allowance for signal handling and for the time until a sent request has been read: the router
+/// knows only to this precision whether a caller sent a request before the platform could notice
+/// the stop. Must be shorter than any time for which a stopping router accepts connections.
+constexpr common::Duration kStopReactionTime = std::chrono::milliseconds(150);
 
 struct DrainPlan {
-  /// New connections are taken until then: the platform may not have noticed the stop.
+  /// New connections are accepted until then, as the platform may not have noticed the stop.
   common::TimePoint accept_until{};
-  /// The process ends then, with whatever is under way.
+  /// The process ends then, even with requests in flight.
   common::TimePoint end_at{};
 
-  /// @param accept how long callers may not have noticed. @param drain time until the process ends.
+  /// @param accept how long callers may be unaware of the stop. @param drain time until the process
+  /// ends.
   static DrainPlan from(common::TimePoint now, common::Duration accept, common::Duration drain) {
     return {now + std::min(accept, drain), now + drain};
   }
 
-  /// Whether a request that comes now is taken: its time is up before the process ends, or its
-  /// caller could not have known of the stop. The time to write a large answer is not included.
-  /// @param longest the longest it may be under way; nothing: it has no bound.
-  bool takes(common::TimePoint now, std::optional<common::Duration> longest) const {
-    const bool is_early = now + kDrainReaction < accept_until;
+  /// Whether a request that arrives now is admitted: either it times out before the process ends,
+  /// or its caller could not have been aware of the stop. The time to write a large answer is not
+  /// included.
+  /// @param longest the maximum time that the request may be in flight; nullopt if it is unbounded.
+  bool admits(common::TimePoint now, std::optional<common::Duration> longest) const {
+    const bool is_early = now + kStopReactionTime < accept_until;
     return is_early || (longest.has_value() && now + *longest <= end_at);
   }
 };
--- a/src/router/native_dialect.cpp
+++ b/src/router/native_dialect.cpp
@@ -53,7 +53,8 @@
 
 }  // namespace
 
-transport::HeaderList passed_on(const transport::HeaderList& headers, std::string_view own_prefix) {
+transport::HeaderList forwardable_headers(const transport::HeaderList& headers,
+                                          std::string_view own_prefix) {
   constexpr std::array<std::string_view, 12> kOwn = {"Connection",
                                                      "Keep-Alive",
                                                      "Proxy-Connection",
@@ -80,17 +81,17 @@
   return kept;
 }
 
-common::Result<ReadRequest> NativeDialect::read(const transport::HttpExchange& exchange) const {
-  ReadRequest read;
-  CallerRequest& request = read.request;
+common::Result<ParsedRequest> NativeDialect::parse(const transport::HttpExchange& exchange) const {
+  ParsedRequest parsed;
+  CallerRequest& request = parsed.request;
   if (!parse_path(exchange.path(), request.service)) {
     return bad_request("the path must be /tenant/service/...");
   }
   const std::string_view timeout = exchange.header("Planktray-Timeout-Ms");
   if (!timeout.empty()) {
     const char* end = timeout.data() + timeout.size();
-    const auto parsed = std::from_chars(timeout.data(), end, request.timeout_ms);
-    if (parsed.ec != std::errc() || parsed.ptr != end || request.timeout_ms == 0 ||
+    const auto result = std::from_chars(timeout.data(), end, request.timeout_ms);
+    if (result.ec != std::errc() || result.ptr != end || request.timeout_ms == 0 ||
         request.timeout_ms > config::kMaxTimeoutMs) {
       return bad_request("Planktray-Timeout-Ms must be from 1 to " +
                          std::to_string(config::kMaxTimeoutMs));
@@ -103,8 +104,8 @@
   }
   request.key = std::string(key);
   request.method = std::string(exchange.method());
-  read.request_id = given_id.empty() ? new_request_id() : std::string(given_id);
-  return read;
+  parsed.request_id = given_id.empty() ? new_request_id() : std::string(given_id);
+  return parsed;
 }
 
 void NativeDialect::refuse(transport::HttpExchange& exchange, const common::Error& error) const {
@@ -115,39 +116,40 @@
 }
 
 transport::HttpRequest NativeDialect::to_backend(const transport::HttpExchange& exchange,
-                                                 const ReadRequest& read,
+                                                 const ParsedRequest& parsed,
                                                  const Forward& forward) const {
   transport::HttpRequest request;
   request.method = std::string(exchange.method());
   request.target = exchange.target();
-  request.headers = passed_on(exchange.headers(), kOwnPrefix);
+  request.headers = forwardable_headers(exchange.headers(), kOwnPrefix);
   request.body = std::string(exchange.body());
   request.fresh_connection = !forward.repeatable;
   const auto left =
       std::chrono::duration_cast<std::chrono::milliseconds>(forward.time_left).count();
   request.headers.insert(request.headers.end(),
-                         {{kRequestId, read.request_id},
-                          {"Planktray-Tenant", read.request.service.tenant.value},
-                          {"Planktray-Service", read.request.service.service.value},
+                         {{kRequestId, parsed.request_id},
+                          {"Planktray-Tenant", parsed.request.service.tenant.value},
+                          {"Planktray-Service", parsed.request.service.service.value},
                           {"Planktray-Timeout-Ms", std::to_string(std::max<std::int64_t>(1, left))},
                           {"Planktray-Incarnation", forward.incarnation.value}});
   if (forward.keyed) {
     request.headers.insert(request.headers.end(),
-                           {{"Planktray-Key", read.request.key},
+                           {{"Planktray-Key", parsed.request.key},
                             {"Planktray-Shard", std::to_string(forward.shard.value)},
                             {"Planktray-Epoch", std::to_string(forward.epoch.value)}});
   }
   return request;
 }
 
-AttemptResult NativeDialect::judge(const ReadRequest& read, const common::Incarnation& /*expected*/,
-                                   const transport::HttpResponse& response) const {
+AttemptResult NativeDialect::classify(const ParsedRequest& parsed,
+                                      const common::Incarnation& /*expected*/,
+                                      const transport::HttpResponse& response) const {
   AttemptResult result;
   if (!response.is_whole()) {
     result.end = response.was_sent ? routing::AttemptEnd::kBroken : routing::AttemptEnd::kNotSent;
   } else if (routing::parse_refusal(response.header("Planktray-Not-Run"), result.refusal)) {
     result.end = routing::AttemptEnd::kRefused;
-  } else if (response.header(kRequestId) == read.request_id) {
+  } else if (response.header(kRequestId) == parsed.request_id) {
     result.end = routing::AttemptEnd::kAnswered;
   } else {
     result.end = routing::AttemptEnd::kForeign;
@@ -155,18 +157,18 @@
   return result;
 }
 
-void NativeDialect::pass_on(transport::HttpExchange& exchange, const ReadRequest& read,
-                            const transport::HttpResponse& response) const {
-  transport::HeaderList headers = passed_on(response.headers, kOwnPrefix);
+void NativeDialect::forward_response(transport::HttpExchange& exchange, const ParsedRequest& parsed,
+                                     const transport::HttpResponse& response) const {
+  transport::HeaderList headers = forwardable_headers(response.headers, kOwnPrefix);
   headers.emplace_back(kOutcome, "answered");
-  headers.emplace_back(kRequestId, read.request_id);
+  headers.emplace_back(kRequestId, parsed.request_id);
   exchange.respond(response.status, headers, response.body);
 }
 
-void NativeDialect::answer(transport::HttpExchange& exchange, const ReadRequest& read,
+void NativeDialect::answer(transport::HttpExchange& exchange, const ParsedRequest& parsed,
                            const Answer& answer) const {
   transport::HeaderList headers = {{kOutcome, std::string(routing::to_string(answer.outcome))},
-                                   {kRequestId, read.request_id}};
+                                   {kRequestId, parsed.request_id}};
   nlohmann::json body = {{"step", "route request"}, {"peer", router_}};
   if (answer.outcome == routing::Outcome::kUnknown) {
     body["error"] = "the request was sent, but no whole answer came; it may have run";
--- a/src/router/native_dialect.hpp
+++ b/src/router/native_dialect.hpp
@@ -12,15 +12,16 @@
   /// @param router name told in errors.
   explicit NativeDialect(std::string router) : router_(std::move(router)) {}
 
-  common::Result<ReadRequest> read(const transport::HttpExchange& exchange) const override;
+  common::Result<ParsedRequest> parse(const transport::HttpExchange& exchange) const override;
   void refuse(transport::HttpExchange& exchange, const common::Error& error) const override;
   transport::HttpRequest to_backend(const transport::HttpExchange& exchange,
-                                    const ReadRequest& read, const Forward& forward) const override;
-  AttemptResult judge(const ReadRequest& read, const common::Incarnation& expected,
-                      const transport::HttpResponse& response) const override;
-  void pass_on(transport::HttpExchange& exchange, const ReadRequest& read,
-               const transport::HttpResponse& response) const override;
-  void answer(transport::HttpExchange& exchange, const ReadRequest& read,
+                                    const ParsedRequest& parsed,
+                                    const Forward& forward) const override;
+  AttemptResult classify(const ParsedRequest& parsed, const common::Incarnation& expected,
+                         const transport::HttpResponse& response) const override;
+  void forward_response(transport::HttpExchange& exchange, const ParsedRequest& parsed,
+                        const transport::HttpResponse& response) const override;
+  void answer(transport::HttpExchange& exchange, const ParsedRequest& parsed,
               const Answer& answer) const override;
 
  private:
--- a/src/router/request_dialect.hpp
+++ b/src/router/request_dialect.hpp
@@ -11,8 +11,8 @@
 
 namespace planktray::router {
 
-/// A caller's request as it was read.
-struct ReadRequest {
+/// A request of a caller in parsed form.
+struct ParsedRequest {
   CallerRequest request;   ///< its handle is set by the process
   std::string request_id;  ///< as the caller sent it, or made here where it sent none
 };
@@ -25,12 +25,12 @@
   virtual ~RequestDialect() = default;
 
   /// @return kInvalid where the request can never run as it is.
-  virtual common::Result<ReadRequest> read(const transport::HttpExchange& exchange) const = 0;
-  /// Answers a request that read() refused.
+  virtual common::Result<ParsedRequest> parse(const transport::HttpExchange& exchange) const = 0;
+  /// Answers a request that parse() refused.
   virtual void refuse(transport::HttpExchange& exchange, const common::Error& error) const = 0;
   /// The request as a back end gets it. Its address is the process's.
   virtual transport::HttpRequest to_backend(const transport::HttpExchange& exchange,
-                                            const ReadRequest& read,
+                                            const ParsedRequest& parsed,
                                             const Forward& forward) const = 0;
   /// A digest of what the request is: the same for each try of the same request, by any router.
   /// @return 0 where the dialect makes none.
@@ -39,18 +39,19 @@
   }
   /// What a response, or the lack of one, says of the attempt. @param expected the incarnation
   /// that the request was sent to.
-  virtual AttemptResult judge(const ReadRequest& read, const common::Incarnation& expected,
-                              const transport::HttpResponse& response) const = 0;
+  virtual AttemptResult classify(const ParsedRequest& parsed, const common::Incarnation& expected,
+                                 const transport::HttpResponse& response) const = 0;
   /// Passes a back end's answer on.
-  virtual void pass_on(transport::HttpExchange& exchange, const ReadRequest& read,
-                       const transport::HttpResponse& response) const = 0;
+  virtual void forward_response(transport::HttpExchange& exchange, const ParsedRequest& parsed,
+                                const transport::HttpResponse& response) const = 0;
   /// Answers "not run" or "unknown".
-  virtual void answer(transport::HttpExchange& exchange, const ReadRequest& read,
+  virtual void answer(transport::HttpExchange& exchange, const ParsedRequest& parsed,
                       const Answer& answer) const = 0;
 };
 
 /// Headers that are passed on: all but those of one connection (RFC 9110, 7.6.1), those that the
 /// router sets by itself for every message, and those with the prefix `own_prefix`.
-transport::HeaderList passed_on(const transport::HeaderList& headers, std::string_view own_prefix);
+transport::HeaderList forwardable_headers(const transport::HeaderList& headers,
+                                          std::string_view own_prefix);
 
 }  // namespace planktray::router
--- a/src/router/request_log.cpp
+++ b/src/router/request_log.cpp
@@ -15,10 +15,10 @@
   return value.has_value() ? milliseconds_text(*value) : "none";
 }
 
-std::string key_text(const ReadRequest& read) {
-  const auto& route = read.request.route;
+std::string key_text(const ParsedRequest& parsed) {
+  const auto& route = parsed.request.route;
   if (!route.has_value()) {
-    return read.request.key;
+    return parsed.request.key;
   }
   return route->key.has_value() ? std::to_string(*route->key) : "";
 }
@@ -33,15 +33,16 @@
              {"inbound_backlog_ms", milliseconds_text(change.inbound_backlog)}});
 }
 
-void RequestLog::repeated(common::TimePoint now, const ReadRequest& read, const Forward& forward) {
+void RequestLog::repeated(common::TimePoint now, const ParsedRequest& parsed,
+                          const Forward& forward) {
   if (!limit_.allows(now)) {
     return;
   }
   log_event("request_repeated",
-            {{"request", read.request_id},
+            {{"request", parsed.request_id},
              {"attempt", std::to_string(forward.number)},
              {"service", forward.service},
-             {"key", key_text(read)},
+             {"key", key_text(parsed)},
              {"peer", forward.address},
              {"instance", forward.incarnation.value},
              {"table_index", std::to_string(forward.table_index.value)},
@@ -50,7 +51,7 @@
              {"time_left_ms", milliseconds_text(forward.time_left)}});
 }
 
-void RequestLog::attempt_failed(common::TimePoint now, const ReadRequest& read,
+void RequestLog::attempt_failed(common::TimePoint now, const ParsedRequest& parsed,
                                 const SentAttempt& attempt, const AttemptResult& result,
                                 const transport::HttpResponse& response) {
   if (!limit_.allows(now)) {
@@ -58,7 +59,7 @@
   }
   const bool refused = result.end == routing::AttemptEnd::kRefused;
   log_event("attempt_failed",
-            {{"request", read.request_id},
+            {{"request", parsed.request_id},
              {"attempt", std::to_string(attempt.number)},
              {"service", attempt.service},
              {"peer", attempt.address},
@@ -177,21 +178,21 @@
                                   {"time_ms", milliseconds_text(request.time)}});
 }
 
-void RequestLog::refused(common::TimePoint now, const ReadRequest& read, const Answer& answer,
+void RequestLog::refused(common::TimePoint now, const ParsedRequest& parsed, const Answer& answer,
                          const RefusalTimes& times) {
   if (!limit_.allows(now)) {
     return;
   }
   log_event("request_refused",
-            {{"request", read.request_id},
+            {{"request", parsed.request_id},
              {"outcome", std::string(routing::to_string(answer.outcome))},
              {"reason", std::string(routing::to_string(answer.reason))},
              {"service", answer.service},
-             {"key", key_text(read)},
+             {"key", key_text(parsed)},
              {"attempts", std::to_string(answer.attempts)},
              {"took_ms", milliseconds_text(times.took)},
              {"route", answer.route},
-             {"stated_ms", std::to_string(read.request.timeout_ms)},
+             {"stated_ms", std::to_string(parsed.request.timeout_ms)},
              {"unread_ms", milliseconds_text(times.unread)},
              {"expected_ms",
               answer.expected.has_value() ? milliseconds_text(*answer.expected) : "unknown"},
--- a/src/router/request_log.hpp
+++ b/src/router/request_log.hpp
@@ -73,9 +73,10 @@
   /// The router goes on with its last table whatever its age, or does not any more.
   void contact_changed(const ContactChange& change);
   /// An attempt that is not the first of its request goes out.
-  void repeated(common::TimePoint now, const ReadRequest& read, const Forward& forward);
-  void attempt_failed(common::TimePoint now, const ReadRequest& read, const SentAttempt& attempt,
-                      const AttemptResult& result, const transport::HttpResponse& response);
+  void repeated(common::TimePoint now, const ParsedRequest& parsed, const Forward& forward);
+  void attempt_failed(common::TimePoint now, const ParsedRequest& parsed,
+                      const SentAttempt& attempt, const AttemptResult& result,
+                      const transport::HttpResponse& response);
   /// The last byte of an attempt was handed to the system long after what its back end was chosen
   /// by was known to be so.
   void written_late(common::TimePoint now, const SentAttempt& attempt);
@@ -99,7 +100,7 @@
   /// A back end that took requests wants none for a while.
   void backoff_requested(common::TimePoint now, const BackoffRequest& request);
   /// The request ends without a back end's answer.
-  void refused(common::TimePoint now, const ReadRequest& read, const Answer& answer,
+  void refused(common::TimePoint now, const ParsedRequest& parsed, const Answer& answer,
                const RefusalTimes& times);
 
  private:
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -59,7 +59,7 @@
   ArrivalTime arrival;
   arrival.connection = settings.connect_timeout;
   arrival.settling = settings.settle_time;
-  arrival.turns = 2 * transport::kLongestTurn;
+  arrival.loop_turns = 2 * transport::kLongestTurn;
   return arrival;
 }
 
@@ -256,7 +256,7 @@
 
 bool RouterProcess::is_ready() const {
   const bool has_table =
-      settings_.serves_routes ? core_.has_routes() : core_.is_serving(boot_time_now());
+      settings_.readiness_requires_routes ? core_.has_routes() : core_.is_serving(boot_time_now());
   return has_table && !draining_;
 }
 
@@ -280,27 +280,27 @@
   if (settings_.status_address.empty() && answer_status(exchange)) {
     return;
   }
-  auto read = dialect_->read(*exchange);
-  if (!read.has_value()) {
-    return dialect_->refuse(*exchange, read.error());
+  auto parsed = dialect_->parse(*exchange);
+  if (!parsed.has_value()) {
+    return dialect_->refuse(*exchange, parsed.error());
   }
-  if (draining_ && refuse_while_draining(exchange, *read)) {
+  if (draining_ && refuse_while_draining(exchange, *parsed)) {
     return;
   }
   const RequestHandle handle = next_handle_++;
-  read->request.handle = handle;
-  read->request.body_bytes = exchange->body().size();
+  parsed->request.handle = handle;
+  parsed->request.body_bytes = exchange->body().size();
   if (core_.needs_digests()) {
-    read->request.digest = dialect_->digest(*exchange);
+    parsed->request.digest = dialect_->digest(*exchange);
   }
-  const Caller& caller = callers_[handle] = {exchange, std::move(*read), boot_time_now()};
+  const Caller& caller = callers_[handle] = {exchange, std::move(*parsed), boot_time_now()};
   exchange->on_gone([this, handle] {
     callers_.erase(handle);
     core_.on_caller_disconnected(boot_time_now(), handle);
     flush();
   });
   unread_.Observe(std::chrono::duration<double>(caller.arrived - exchange->first_byte()).count());
-  core_.on_request(boot_time_now(), caller.read.request);
+  core_.on_request(boot_time_now(), caller.parsed.request);
   flush();
 }
 
@@ -331,9 +331,9 @@
 }
 
 bool RouterProcess::refuse_while_draining(const transport::ExchangePointer& exchange,
-                                          const ReadRequest& read) {
-  if (!read.request.route.has_value() ||
-      drain_plan_.takes(boot_time_now(), longest_time(read.request))) {
+                                          const ParsedRequest& parsed) {
+  if (!parsed.request.route.has_value() ||
+      drain_plan_.admits(boot_time_now(), longest_time(parsed.request))) {
     return false;  // requests that are on no route are the core's to refuse
   }
   ++refused_while_draining_;
@@ -341,7 +341,7 @@
   answer.outcome = routing::Outcome::kNotRun;
   answer.reason = routing::NotRunReason::kDrainingRouter;
   answer.retry_after = settings_.options.short_retry_after;
-  dialect_->answer(*exchange, read, answer);
+  dialect_->answer(*exchange, parsed, answer);
   return true;
 }
 
@@ -479,7 +479,7 @@
     return;
   }
   const Caller& caller = found->second;
-  transport::HttpRequest request = dialect_->to_backend(*caller.exchange, caller.read, forward);
+  transport::HttpRequest request = dialect_->to_backend(*caller.exchange, caller.parsed, forward);
   request.address = forward.address;
   if (!forward.repeatable) {
     request.settle_time = settings_.settle_time;
@@ -487,13 +487,13 @@
   const AttemptId attempt = forward.attempt;
   const common::TimePoint now = boot_time_now();
   if (forward.number > 1) {
-    request_log_.repeated(now, caller.read, forward);
+    request_log_.repeated(now, caller.parsed, forward);
   }
   SentAttempt& chosen = sent_[attempt].attempt;
   chosen.address = forward.address;
   chosen.incarnation = forward.incarnation;
   chosen.service = forward.service;
-  chosen.request_id = caller.read.request_id;
+  chosen.request_id = caller.parsed.request_id;
   chosen.number = forward.number;
   chosen.sent = now;
   chosen.bytes = request.body.size();
@@ -564,7 +564,7 @@
     return;
   }
   AttemptResult result =
-      dialect_->judge(caller->second.read, found->second.attempt.incarnation, response);
+      dialect_->classify(caller->second.parsed, found->second.attempt.incarnation, response);
   if (result.connection_ended || core_.needs_digests()) {
     result.digest = dialect_->digest(*caller->second.exchange);
   }
@@ -578,7 +578,8 @@
   if (result.end == routing::AttemptEnd::kAnswered) {
     found->second.response = std::move(response);
   } else {
-    request_log_.attempt_failed(now, caller->second.read, found->second.attempt, result, response);
+    request_log_.attempt_failed(now, caller->second.parsed, found->second.attempt, result,
+                                response);
     sent_.erase(found);
   }
   core_.on_attempt_done(now, attempt, result);
@@ -597,13 +598,13 @@
   latency_.Observe(std::chrono::duration<double>(took).count());
   if (answer.outcome == routing::Outcome::kAnswered) {
     const auto sent = sent_.find(answer.attempt);
-    dialect_->pass_on(*caller.exchange, caller.read, sent->second.response);
+    dialect_->forward_response(*caller.exchange, caller.parsed, sent->second.response);
     sent_.erase(sent);
     return;
   }
   const common::Duration unread = caller.arrived - caller.exchange->first_byte();
-  request_log_.refused(now, caller.read, answer, {took, unread, core_.freshness().age(now)});
-  dialect_->answer(*caller.exchange, caller.read, answer);
+  request_log_.refused(now, caller.parsed, answer, {took, unread, core_.freshness().age(now)});
+  dialect_->answer(*caller.exchange, caller.parsed, answer);
 }
 
 }  // namespace planktray::router
--- a/src/router/router_process.hpp
+++ b/src/router/router_process.hpp
@@ -44,7 +44,7 @@
   std::string status_address;
   std::string ready_path = "/readyz";
   /// Ready with a route configuration, rather than with a confirmed table.
-  bool serves_routes = false;
+  bool readiness_requires_routes = false;
   std::string settings_path;  ///< file whose change is a reason to read the settings anew
   /// Reads the settings anew; none: they never change.
   std::function<common::Result<RouterSettings>()> reload;
@@ -64,7 +64,7 @@
   /// A caller that waits.
   struct Caller {
     transport::ExchangePointer exchange;
-    ReadRequest read;
+    ParsedRequest parsed;
     common::TimePoint arrived;
   };
   /// An attempt that is under way, or whose answer waits to be passed on.
@@ -88,7 +88,8 @@
   std::optional<common::Duration> longest_time(const CallerRequest& request) const;
   /// Answers "not run" where this router may stop before the request ends. @return false where it
   /// has to be taken.
-  bool refuse_while_draining(const transport::ExchangePointer& exchange, const ReadRequest& read);
+  bool refuse_while_draining(const transport::ExchangePointer& exchange,
+                             const ParsedRequest& parsed);
   bool answer_status(const transport::ExchangePointer& exchange);
   bool is_ready() const;
   void flush();
--- a/test/platform/request_dialect_test.cpp
+++ b/test/platform/request_dialect_test.cpp
@@ -32,7 +32,9 @@
   return made;
 }
 
-AttemptEnd end_of(const HttpResponse& given) { return PlatformDialect().judge({}, {}, given).end; }
+AttemptEnd end_of(const HttpResponse& given) {
+  return PlatformDialect().classify({}, {}, given).end;
+}
 
 TEST_CASE("only the words of a target say that it did not run a request") {
   const transport::HeaderList not_executed = {{kNotExecutedHeader, "1"}};
@@ -59,9 +61,9 @@
 
 TEST_CASE("a misdirected request tells an owner that has changed from another instance") {
   const PlatformDialect dialect;
-  CHECK(dialect.judge({}, {}, response(421, {{kNotExecutedHeader, "1"}})).refusal ==
+  CHECK(dialect.classify({}, {}, response(421, {{kNotExecutedHeader, "1"}})).refusal ==
         Refusal::kNotOwner);
-  CHECK(dialect.judge({}, {}, response(421, {})).refusal == Refusal::kWrongIncarnation);
+  CHECK(dialect.classify({}, {}, response(421, {})).refusal == Refusal::kWrongIncarnation);
 }
 
 TEST_CASE("who answers with 421 tells an ended back end from one that does not hold the key") {
@@ -69,7 +71,7 @@
   const auto refusal = [&](const std::string& answered_by) {
     const HttpResponse given =
         response(421, {{kNotExecutedHeader, "1"}, {kInstanceHeader, answered_by}});
-    return dialect.judge({}, common::Incarnation("i-1"), given).refusal;
+    return dialect.classify({}, common::Incarnation("i-1"), given).refusal;
   };
   CHECK(refusal("i-1") == Refusal::kNotOwner);
   CHECK(refusal("i-2") == Refusal::kWrongIncarnation);
@@ -77,12 +79,12 @@
 
 TEST_CASE("what a target says in words that nobody reads is handed on to be told") {
   const PlatformDialect dialect;
-  const auto result = dialect.judge({}, {},
-                                    response(200, {{kSealHeader, "s"},
-                                                   {"Content-Type", "text/plain"},
-                                                   {"x-planktray-server-mood", "low"},
-                                                   {"Server-Mood", "high"},
-                                                   {kLoadHeader, "1,0,3"}}));
+  const auto result = dialect.classify({}, {},
+                                       response(200, {{kSealHeader, "s"},
+                                                      {"Content-Type", "text/plain"},
+                                                      {"x-planktray-server-mood", "low"},
+                                                      {"Server-Mood", "high"},
+                                                      {kLoadHeader, "1,0,3"}}));
   REQUIRE(result.unrecognized_headers.size() == 2);
   CHECK(result.unrecognized_headers[0].name == "x-planktray-server-mood");
   CHECK(result.unrecognized_headers[0].value == "low");
@@ -93,13 +95,13 @@
 // HTTP's own, and nothing told that nobody read it.
 TEST_CASE("words of a target that have no prefix are told as well, HTTP's own are not") {
   const PlatformDialect dialect;
-  const auto result = dialect.judge({}, {},
-                                    response(503, {{kNotExecutedHeader, "1"},
-                                                   {"Date", "now"},
-                                                   {"content-type", "text/plain"},
-                                                   {"Keep-Alive", "timeout=5"},
-                                                   {"Access-Control-Allow-Origin", "*"},
-                                                   {"Please-Wait", "3"}}));
+  const auto result = dialect.classify({}, {},
+                                       response(503, {{kNotExecutedHeader, "1"},
+                                                      {"Date", "now"},
+                                                      {"content-type", "text/plain"},
+                                                      {"Keep-Alive", "timeout=5"},
+                                                      {"Access-Control-Allow-Origin", "*"},
+                                                      {"Please-Wait", "3"}}));
   REQUIRE(result.unrecognized_headers.size() == 1);
   CHECK(result.unrecognized_headers[0].name == "Please-Wait");
 }
@@ -107,7 +109,7 @@
 TEST_CASE("the load a target tells is read, and nothing else is taken for it") {
   const PlatformDialect dialect;
   const auto load = [&](const char* text) {
-    return dialect.judge({}, {}, response(200, {{kSealHeader, "s"}, {kLoadHeader, text}})).load;
+    return dialect.classify({}, {}, response(200, {{kSealHeader, "s"}, {kLoadHeader, text}})).load;
   };
   REQUIRE(load("3,1,8").has_value());
   CHECK(load("3,1,8")->running == 3);
@@ -124,7 +126,7 @@
   const PlatformDialect dialect;
   const auto judged = [&](transport::HeaderList headers) {
     headers.emplace_back(kSealHeader, "s");
-    return dialect.judge({}, {}, response(200, headers));
+    return dialect.classify({}, {}, response(200, headers));
   };
   struct Readable {
     const char* text;
@@ -154,15 +156,15 @@
 
 TEST_CASE("only answers of the target itself say that it names no limit any more") {
   const PlatformDialect dialect;
-  const auto refused = dialect.judge({}, {}, response(503, {{kNotExecutedHeader, "1"}}));
+  const auto refused = dialect.classify({}, {}, response(503, {{kNotExecutedHeader, "1"}}));
   CHECK_FALSE(refused.limit.is_stated);
   const auto limited =
-      dialect.judge({}, {}, response(503, {{kNotExecutedHeader, "1"}, {kLimitHeader, "2"}}));
+      dialect.classify({}, {}, response(503, {{kNotExecutedHeader, "1"}, {kLimitHeader, "2"}}));
   CHECK(limited.limit.per_second == 2.0);
   HttpResponse broken;
   broken.was_sent = true;
-  CHECK_FALSE(dialect.judge({}, {}, broken).limit.is_stated);
-  const auto other = dialect.judge(
+  CHECK_FALSE(dialect.classify({}, {}, broken).limit.is_stated);
+  const auto other = dialect.classify(
       {}, common::Incarnation("i-1"),
       response(421, {{kInstanceHeader, "i-2"}, {kNotExecutedHeader, "1"}, {kLimitHeader, "2"}}));
   CHECK_FALSE(other.limit.is_stated);  // another process speaks of itself
@@ -171,7 +173,7 @@
 TEST_CASE("a load report that grew is used as far as it can be read, and said so") {
   const PlatformDialect dialect;
   const auto judged = [&](const char* text) {
-    return dialect.judge({}, {}, response(200, {{kSealHeader, "s"}, {kLoadHeader, text}}));
+    return dialect.classify({}, {}, response(200, {{kSealHeader, "s"}, {kLoadHeader, text}}));
   };
   const auto with_pace = judged("3,1,8,250");
   REQUIRE(with_pace.load.has_value());
@@ -224,16 +226,16 @@
   request.body = "body";
   transport::HttpRequest sent;
   exchange_one(request, [&](const transport::ExchangePointer& exchange) {
-    const auto read = dialect.read(*exchange);
-    REQUIRE(read.has_value());
-    CHECK(read->request.timeout_ms == 800);
-    CHECK(read->request.route->host == "h.example:80");
-    CHECK(read->request.route->path == "/a/b%zz");
-    CHECK(read->request.route->key == 65'535U);
+    const auto parsed = dialect.parse(*exchange);
+    REQUIRE(parsed.has_value());
+    CHECK(parsed->request.timeout_ms == 800);
+    CHECK(parsed->request.route->host == "h.example:80");
+    CHECK(parsed->request.route->path == "/a/b%zz");
+    CHECK(parsed->request.route->key == 65'535U);
     router::Forward forward;
     forward.incarnation = common::Incarnation("i-1");
     forward.time_left = std::chrono::milliseconds(640);
-    sent = dialect.to_backend(*exchange, *read, forward);
+    sent = dialect.to_backend(*exchange, *parsed, forward);
     exchange->respond(200, {}, "");
   });
   CHECK(sent.method == "PUT");
@@ -255,9 +257,9 @@
     transport::HttpRequest request;
     request.headers = {{"Host", "h"}, header};
     const HttpResponse got = exchange_one(request, [&](const transport::ExchangePointer& exchange) {
-      const auto read = dialect.read(*exchange);
-      REQUIRE_FALSE(read.has_value());
-      dialect.refuse(*exchange, read.error());
+      const auto parsed = dialect.parse(*exchange);
+      REQUIRE_FALSE(parsed.has_value());
+      dialect.refuse(*exchange, parsed.error());
     });
     CHECK(got.status == 400);
   }
--- a/test/platform/requested_backoff_test.cpp
+++ b/test/platform/requested_backoff_test.cpp
@@ -24,7 +24,7 @@
   transport::HttpResponse response;
   response.status = status;
   response.headers = std::move(headers);
-  return PlatformDialect().judge({}, {}, response);
+  return PlatformDialect().classify({}, {}, response);
 }
 router::AttemptResult turned_away(const std::string& retry_after) {
   return judged(kStatusUnavailable, {{kNotExecutedHeader, "1"}, {kRetryAfterHeader, retry_after}});
@@ -120,8 +120,8 @@
   other.headers = marked;
   other.headers.emplace_back(kInstanceHeader, "i-2");
   const PlatformDialect dialect;
-  CHECK_FALSE(dialect.judge({}, common::Incarnation("i-1"), other).backoff.has_value());
-  CHECK(dialect.judge({}, common::Incarnation("i-2"), other).backoff.has_value());
+  CHECK_FALSE(dialect.classify({}, common::Incarnation("i-1"), other).backoff.has_value());
+  CHECK(dialect.classify({}, common::Incarnation("i-2"), other).backoff.has_value());
 }
 
 // Guards against callers who are told a time that is not true, or all the same one.
--- a/test/platform/reused_address_test.cpp
+++ b/test/platform/reused_address_test.cpp
@@ -108,7 +108,7 @@
       for (const router::Forward& forward : output.forwards) {
         ++arrivals_[forward.handle];
         core_.on_attempt_done(at(when), forward.attempt,
-                              dialect_.judge({}, forward.incarnation, misdirected()));
+                              dialect_.classify({}, forward.incarnation, misdirected()));
       }
     }
   }
--- a/test/platform/server_limit_test.cpp
+++ b/test/platform/server_limit_test.cpp
@@ -184,7 +184,7 @@
         done.node->told = done.node->told.value_or(now_);
       }
       const router::AttemptResult result =
-          PlatformDialect().judge({}, done.forward.incarnation, response);
+          PlatformDialect().classify({}, done.forward.incarnation, response);
       done.node->core->on_attempt_done(now_, done.forward.attempt, result);
       carry_out(*done.node);
     }
--- a/test/platform/stated_departure_test.cpp
+++ b/test/platform/stated_departure_test.cpp
@@ -24,7 +24,7 @@
   transport::HttpResponse response;
   response.status = status;
   response.headers = std::move(headers);
-  return PlatformDialect().judge({}, common::Incarnation(expected), response);
+  return PlatformDialect().classify({}, common::Incarnation(expected), response);
 }
 
 /// Requests that went to a back end after the promised time had passed since it said that it
--- a/test/router/arrival_time_test.cpp
+++ b/test/router/arrival_time_test.cpp
@@ -40,10 +40,10 @@
 TEST_CASE("the maximum table age and a request's arrival time fit into the promised time") {
   const ArrivalTime arrival = arrival_time(deployed_settings());
   CHECK(arrival.connection > common::Duration(0));
-  CHECK(arrival.turns > common::Duration(0));
+  CHECK(arrival.loop_turns > common::Duration(0));
   CHECK(arrival.total() <= milliseconds(500));
   for (const auto promised : {milliseconds(1000), milliseconds(2000), milliseconds(5000)}) {
-    CHECK(arrival.oldest_table(promised) + arrival.total() <= promised);
+    CHECK(arrival.maximum_table_age(promised) + arrival.total() <= promised);
   }
 }
 
@@ -53,7 +53,7 @@
   constexpr double kNarrowLink = 4.2e6 / 8;  // bytes a second
   constexpr auto kPromised = milliseconds(2000);
   const ArrivalTime arrival = arrival_time(deployed_settings());
-  const routing::FreshnessOptions options{.max_age = arrival.oldest_table(kPromised)};
+  const routing::FreshnessOptions options{.max_age = arrival.maximum_table_age(kPromised)};
   const TimePoint as_of = TimePoint(std::chrono::hours(1));
   routing::TableFreshness freshness(options);
   freshness.on_confirmed(as_of, as_of);
@@ -84,17 +84,17 @@
 TEST_CASE(
     "the maximum table age, the grace period and the arrival time fit into an evacuation's time") {
   const ArrivalTime arrival = arrival_time(deployed_settings());
-  const common::Duration oldest = arrival.oldest_table(seconds(2));
+  const common::Duration oldest = arrival.maximum_table_age(seconds(2));
   const common::Duration wanted = RouterOptions().evacuation_grace;
   for (const auto promised : {milliseconds(2000), milliseconds(3000), milliseconds(5000)}) {
-    CHECK(oldest + arrival.grace(promised, oldest, wanted) + arrival.total() <= promised);
+    CHECK(oldest + arrival.grace_period(promised, oldest, wanted) + arrival.total() <= promised);
   }
-  CHECK(arrival.grace(seconds(5), oldest, wanted) == wanted);
-  CHECK(arrival.grace(seconds(0), oldest, wanted) == wanted);
+  CHECK(arrival.grace_period(seconds(5), oldest, wanted) == wanted);
+  CHECK(arrival.grace_period(seconds(0), oldest, wanted) == wanted);
 }
 
 TEST_CASE("the table age is not limited if no time is promised") {
-  CHECK(arrival_time(deployed_settings()).oldest_table(milliseconds(0)) == milliseconds(0));
+  CHECK(arrival_time(deployed_settings()).maximum_table_age(milliseconds(0)) == milliseconds(0));
 }
 
 }  // namespace
