--- a/src/controller/activity_meter.hpp
+++ b/src/controller/activity_meter.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// Where the processor time of a controller's main loop goes, and how much it carried: totals that
-/// the process writes to its log once a second while it leads.
+/// Measures how a controller's main loop spends its processor time. The process logs the totals
+/// once a second while it is the leader.
 
 #include <array>
 #include <cstddef>
@@ -13,30 +13,30 @@
 
 namespace planktray::controller {
 
-/// What the main loop works on. All time that nothing is noted for counts as kOther: accepting,
-/// reading and closing connections, timers, and waiting for descriptors.
+/// Kinds of work of the main loop. Time outside any Span counts as kOther: accepting, reading and
+/// closing connections, timers, and waiting for descriptors.
 enum class Activity : std::uint8_t {
   kOther,
-  kDecisions,  ///< what ControllerCore does by itself: sweeps, plans, orders to make
+  kDecisions,  ///< periodic work of ControllerCore: sweeps, plans, new orders
   kPeers,      ///< messages of other controllers
-  kHellos,     ///< hellos of routers, with the answers to them
+  kHellos,     ///< hellos of routers and the replies to them
   kTables,     ///< encoding and sending tables
   kOrders,     ///< sending orders to back ends, and their replies
-  kControl,    ///< heartbeats and calls of operators
+  kControl,    ///< heartbeats and operator requests
 };
-constexpr std::size_t kActivities = 7;
+constexpr std::size_t kActivityCount = 7;
 
-/// "decisions", "peers" and so on.
+/// Returns the name that the log uses, such as "decisions".
 std::string_view to_string(Activity activity);
 
 class ActivityMeter {
  public:
-  /// Processor time that the calling thread has used so far.
+  /// Returns the processor time that the calling thread has used so far.
   using Clock = std::function<common::Duration()>;
 
   explicit ActivityMeter(Clock clock);
 
-  /// Charges the time until its end to an activity; one within another pauses that.
+  /// Charges its lifetime to an activity. A nested span pauses the outer one.
   class Span {
    public:
     Span(ActivityMeter& meter, Activity activity) : meter_(meter), outer_(meter.enter(activity)) {}
@@ -49,12 +49,13 @@
     Activity outer_;
   };
 
-  using Times = std::array<common::Duration, kActivities>;
-  /// Time by activity since the last call.
+  using Times = std::array<common::Duration, kActivityCount>;
+  /// Returns the time by activity since the last call.
   Times take();
 
  private:
-  /// Charges what has passed to the present activity. @return that activity.
+  /// Charges the time since the last call to the current activity and makes `next` the current one.
+  /// @return the previous activity.
   Activity enter(Activity next);
 
   Clock clock_;
--- a/src/controller/control_interface.hpp
+++ b/src/controller/control_interface.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// What a deployment adds to a controller beside the product's own operator API: an HTTP interface
-/// of its own, and the form of the orders to back ends that hold fenced grants.
+/// Extension point of a deployment: an HTTP interface in addition to the product's operator API,
+/// and the encoding of orders to back ends that hold fenced grants.
 
 #include <functional>
 #include <memory>
@@ -20,17 +20,17 @@
   virtual ~ControlInterface() = default;
 
   virtual void handle(const transport::ExchangePointer& exchange) = 0;
-  /// Answers the caller whose request has ended; requests of others are passed over.
+  /// Answers the caller whose request has completed. Ignores requests of other interfaces.
   virtual void complete(const Completion& completion) = 0;
-  /// An order as a back end reads it. Address, time-out and connection are the process's.
+  /// Encodes an order for a back end. The caller sets address, timeout and connection options.
   virtual transport::HttpRequest to_request(const ownership::GrantOrder& order) const = 0;
   virtual transport::HttpRequest to_request(const ownership::ReleaseOrder& order) const = 0;
-  /// @param expected the incarnation that the order was for.
+  /// Decodes a back end's reply. @param expected the incarnation that the order was sent to.
   virtual ownership::OrderReply read_reply(const common::Incarnation& expected,
                                            const transport::HttpResponse& response) const = 0;
 };
 
-/// Makes the interface of a running controller; `flush` carries out what the core wants done.
+/// Creates the interface of a running controller. `flush` executes the pending output of the core.
 using ControlInterfaceFactory = std::function<std::unique_ptr<ControlInterface>(
     ControllerCore& core, std::function<void()> flush)>;
 
--- a/src/controller/founding.cpp
+++ b/src/controller/founding.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::uint64_t kFounderSeed = 0x666f756e64;
 
-/// Never 0, which means "none".
+/// Never returns 0, which means "no replica".
 common::ReplicaId founder_id(const common::CellName& cell, const std::string& peer_address) {
   return common::ReplicaId(common::hash_bytes(cell.value + "/" + peer_address, kFounderSeed) | 1U);
 }
