--- a/src/controller/operator_api.cpp
+++ b/src/controller/operator_api.cpp
@@ -46,7 +46,7 @@
   exchange.respond_error({code, step, "", message});
 }
 
-/// Parses a JSON object from a body; answers 400 where it is none.
+/// Parses the body as a JSON object. Answers 400 and returns false if it is not one.
 bool parse_body(HttpExchange& exchange, json& body) {
   body = json::parse(exchange.body(), nullptr, false);
   if (body.is_object()) {
@@ -166,7 +166,7 @@
   if (!withdraws) {
     change.document = body["declaration"].dump();
   }
-  core_.change_declaration(now(), await(exchange), std::move(change));
+  core_.change_declaration(now(), add_pending(exchange), std::move(change));
   flush_();
 }
 
@@ -190,8 +190,7 @@
   exchange.respond_json(kStatusOk, body.dump());
 }
 
-// ---------------------------------------------------------------- drains, evacuations, moves,
-// members
+// ---------------------------------------------------------------- other commands
 
 void OperatorApi::handle_drain(const ExchangePointer& exchange, const std::string& machine) {
   json body = json::object();
@@ -201,7 +200,7 @@
   ownership::DrainMachine drain;
   drain.machine = common::MachineName(machine);
   drain.draining = body.value("draining", true);
-  core_.drain_machine(now(), await(exchange), std::move(drain));
+  core_.drain_machine(now(), add_pending(exchange), std::move(drain));
   flush_();
 }
 
@@ -216,7 +215,7 @@
                   "evacuated must be true or false");
   }
   const bool starts = evacuated == body.end() || evacuated->get<bool>();
-  core_.evacuate_zone(now(), await(exchange), {common::ZoneName(zone), starts});
+  core_.evacuate_zone(now(), add_pending(exchange), {common::ZoneName(zone), starts});
   flush_();
 }
 
@@ -236,7 +235,7 @@
   } catch (const json::exception& error) {
     return refuse(*exchange, common::ErrorCode::kInvalid, "read move", error.what());
   }
-  core_.move_shard(now(), await(exchange), service, shard, to);
+  core_.move_shard(now(), add_pending(exchange), service, shard, to);
   flush_();
 }
 
@@ -292,32 +291,32 @@
   flush_();
 }
 
-// ---------------------------------------------------------------- waiting and completing
+// ---------------------------------------------------------------- pending requests
 
-OperatorRequestId OperatorApi::await(const ExchangePointer& exchange, Render render) {
+OperatorRequestId OperatorApi::add_pending(const ExchangePointer& exchange, Render render) {
   const OperatorRequestId id = core_.new_request();
-  waiting_[id] = {exchange, std::move(render)};
+  pending_[id] = {exchange, std::move(render)};
   return id;
 }
 
 void OperatorApi::read(const ExchangePointer& exchange, Render render) {
-  core_.read(now(), await(exchange, std::move(render)));
+  core_.read(now(), add_pending(exchange, std::move(render)));
   flush_();
 }
 
 void OperatorApi::complete(const Completion& completion) {
   const OperatorRequestId id =
       std::visit([](const auto& alternative) { return alternative.request; }, completion);
-  const auto found = waiting_.find(id);
-  if (found == waiting_.end()) {
+  const auto found = pending_.find(id);
+  if (found == pending_.end()) {
     return;
   }
-  const Waiting waiting = std::move(found->second);
-  waiting_.erase(found);
-  HttpExchange& exchange = *waiting.exchange;
+  const PendingRequest pending = std::move(found->second);
+  pending_.erase(found);
+  HttpExchange& exchange = *pending.exchange;
   if (const auto* read_done = std::get_if<ReadCompleted>(&completion)) {
     if (read_done->confirmed.has_value()) {
-      waiting.render(exchange);
+      pending.render(exchange);
     } else {
       exchange.respond_error(read_done->confirmed.error());
     }
--- a/src/controller/operator_api.hpp
+++ b/src/controller/operator_api.hpp
@@ -15,20 +15,20 @@
 
 class OperatorApi {
  public:
-  /// @param core is asked and told; `flush` carries out what it wants done.
+  /// @param core handles the requests. @param flush executes the core's pending output.
   OperatorApi(ControllerCore& core, transport::Metrics& metrics, std::function<void()> flush);
 
   void handle(const transport::ExchangePointer& exchange);
-  /// Answers the operator whose request has ended.
+  /// Answers the operator whose request has completed.
   void complete(const Completion& completion);
-  /// Bytes and counts that the shell keeps, shown at /metrics.
+  /// Called before /metrics is rendered, to update the metrics of ControllerProcess.
   std::function<void()> on_metrics;
 
  private:
   using Render = std::function<void(transport::HttpExchange& exchange)>;
-  struct Waiting {
+  struct PendingRequest {
     transport::ExchangePointer exchange;
-    Render render;  ///< for reads
+    Render render;  ///< of a read, once the leader is confirmed; empty for other requests
   };
 
   void handle_declaration(const transport::ExchangePointer& exchange,
@@ -40,9 +40,11 @@
   void handle_move(const transport::ExchangePointer& exchange);
   void handle_members(const transport::ExchangePointer& exchange);
   void handle_create(const transport::ExchangePointer& exchange);
-  /// Answers once the leader has confirmed that it still leads.
+  /// Renders the answer once this replica has confirmed that it is still the leader.
   void read(const transport::ExchangePointer& exchange, Render render);
-  OperatorRequestId await(const transport::ExchangePointer& exchange, Render render = nullptr);
+  /// Keeps the exchange until its request completes. @return the id of the request.
+  OperatorRequestId add_pending(const transport::ExchangePointer& exchange,
+                                Render render = nullptr);
 
   void render_declaration(transport::HttpExchange& exchange, ownership::DeclarationKind kind,
                           const std::string& name) const;
@@ -58,7 +60,7 @@
   ControllerCore& core_;
   transport::Metrics& metrics_;
   std::function<void()> flush_;
-  std::map<OperatorRequestId, Waiting> waiting_;
+  std::map<OperatorRequestId, PendingRequest> pending_;
 };
 
 }  // namespace planktray::controller
--- a/src/controller/operator_views.cpp
+++ b/src/controller/operator_views.cpp
@@ -1,4 +1,4 @@
-/// What operators may read of a controller: identity, status, members, sites, assignments, metrics.
+/// Read-only views of OperatorApi: identity, status, members, sites, assignments, metrics.
 
 #include <charconv>
 #include <nlohmann/json.hpp>
@@ -87,12 +87,12 @@
   const auto time = now();
   for (const consensus::Member& member : core_.raft().membership().members) {
     json item = member_json(member);
-    const auto heard = core_.raft().last_heard(member.id);
+    const auto last_contact = core_.raft().last_heard(member.id);
     item["match_index"] = core_.raft().match_index(member.id).value;
     item["is_self"] = member.id == core_.raft().self();
-    if (heard.has_value()) {
+    if (last_contact.has_value()) {
       item["silent_ms"] =
-          std::chrono::duration_cast<std::chrono::milliseconds>(time - *heard).count();
+          std::chrono::duration_cast<std::chrono::milliseconds>(time - *last_contact).count();
     }
     members.push_back(std::move(item));
   }
