--- a/src/controller/order_sender.cpp
+++ b/src/controller/order_sender.cpp
@@ -13,9 +13,9 @@
 using ownership::OrderReply;
 using ownership::ReleaseOrder;
 
-/// The orders of one round follow each other within this time; a connection that has rested for
-/// longer may be one to a machine that is gone.
-constexpr common::Duration kLongestRest = std::chrono::milliseconds(50);
+/// The orders of one round follow each other within this time. A connection that has been idle for
+/// longer may lead to a machine that is lost.
+constexpr common::Duration kMaxIdleTime = std::chrono::milliseconds(50);
 
 transport::HttpClientOptions client_options(const OrderSenderOptions& options) {
   transport::HttpClientOptions client;
@@ -40,7 +40,7 @@
 
 std::size_t OrderSender::grants_open() const {
   std::size_t count = 0;
-  for (const auto& [backend, queue] : waiting_) {
+  for (const auto& [backend, queue] : grants_) {
     count += queue.size();
   }
   return count;
@@ -48,19 +48,19 @@
 
 void OrderSender::send(const GrantOrder& order) {
   ++counters_.grants;
-  auto& queue = waiting_[order.backend];
+  auto& queue = grants_[order.backend];
   queue.push_back(order);
   if (queue.size() == 1) {
-    send_next(order.backend);
+    send_next_grant(order.backend);
   }
 }
 
-void OrderSender::send_next(common::BackendId backend) {
-  const GrantOrder& order = waiting_.at(backend).front();
+void OrderSender::send_next_grant(common::BackendId backend) {
+  const GrantOrder& order = grants_.at(backend).front();
   transport::HttpRequest request = interface_.to_request(order);
   request.address = order.address;
   request.timeout = options_.grant_timeout;
-  request.longest_rest = kLongestRest;
+  request.longest_rest = kMaxIdleTime;
   client_.send(std::move(request), [this, order](const transport::HttpResponse& response) {
     on_grant_response(order, response);
   });
@@ -70,48 +70,48 @@
                                     const transport::HttpResponse& response) {
   const OrderReply reply = interface_.read_reply(order.incarnation, response);
   log_grant(order, reply, response);
-  auto& queue = waiting_.at(order.backend);
+  auto& queue = grants_.at(order.backend);
   queue.pop_front();
   const bool failed =
       reply.outcome == OrderOutcome::kNotSent || reply.outcome == OrderOutcome::kUnanswered;
   counters_.failed += failed ? 1 : 0;
-  const auto given_up = failed ? std::exchange(queue, {}) : std::deque<GrantOrder>();
+  const auto unsent_orders = failed ? std::exchange(queue, {}) : std::deque<GrantOrder>();
   if (queue.empty()) {
-    waiting_.erase(order.backend);
+    grants_.erase(order.backend);
   } else {
-    send_next(order.backend);
+    send_next_grant(order.backend);
   }
   on_reply_(order.id, reply);
-  for (const GrantOrder& never_sent : given_up) {
-    on_reply_(never_sent.id, {OrderOutcome::kNotSent, ""});
+  for (const GrantOrder& unsent : unsent_orders) {
+    on_reply_(unsent.id, {OrderOutcome::kNotSent, ""});
   }
 }
 
 void OrderSender::send(const ReleaseOrder& order) {
   ++counters_.releases;
   ++releases_open_;
-  releases_[order.backend].waiting.push_back(order);
-  send_waiting_releases(order.backend);
+  releases_[order.backend].queued.push_back(order);
+  send_queued_releases(order.backend);
 }
 
-void OrderSender::send_waiting_releases(common::BackendId backend) {
+void OrderSender::send_queued_releases(common::BackendId backend) {
   const auto found = releases_.find(backend);
   if (found == releases_.end()) {
     return;
   }
   Releases& releases = found->second;
-  while (!releases.waiting.empty() && releases.under_way < options_.releases_at_once) {
-    const ReleaseOrder order = std::move(releases.waiting.front());
-    releases.waiting.pop_front();
-    ++releases.under_way;
-    send_now(order);
+  while (!releases.queued.empty() && releases.in_flight < options_.max_releases_in_flight) {
+    const ReleaseOrder order = std::move(releases.queued.front());
+    releases.queued.pop_front();
+    ++releases.in_flight;
+    send_release(order);
   }
-  if (releases.under_way == 0) {
+  if (releases.in_flight == 0) {
     releases_.erase(found);
   }
 }
 
-void OrderSender::send_now(const ReleaseOrder& order) {
+void OrderSender::send_release(const ReleaseOrder& order) {
   transport::HttpRequest request = interface_.to_request(order);
   request.address = order.address;
   request.timeout = options_.release_timeout;
@@ -126,26 +126,26 @@
   const OrderReply reply = interface_.read_reply(order.incarnation, response);
   log_release(order, reply, response);
   Releases& releases = releases_.at(order.backend);
-  --releases.under_way;
-  // Where no connection comes up, the others would only wait for the same.
-  const auto given_up = reply.outcome == OrderOutcome::kNotSent
-                            ? std::exchange(releases.waiting, {})
-                            : std::deque<ReleaseOrder>();
+  --releases.in_flight;
+  // If no connection can be established, the queued releases would fail in the same way.
+  const auto unsent_orders = reply.outcome == OrderOutcome::kNotSent
+                                 ? std::exchange(releases.queued, {})
+                                 : std::deque<ReleaseOrder>();
   const bool failed =
       reply.outcome == OrderOutcome::kNotSent || reply.outcome == OrderOutcome::kUnanswered;
-  counters_.failed += (failed ? 1 : 0) + given_up.size();
-  releases_open_ -= 1 + given_up.size();
-  send_waiting_releases(order.backend);
+  counters_.failed += (failed ? 1 : 0) + unsent_orders.size();
+  releases_open_ -= 1 + unsent_orders.size();
+  send_queued_releases(order.backend);
   on_reply_(order.id, reply);
-  for (const ReleaseOrder& never_sent : given_up) {
-    on_reply_(never_sent.id, {OrderOutcome::kNotSent, ""});
+  for (const ReleaseOrder& unsent : unsent_orders) {
+    on_reply_(unsent.id, {OrderOutcome::kNotSent, ""});
   }
 }
 
 void OrderSender::log_grant(const GrantOrder& order, const OrderReply& reply,
                             const transport::HttpResponse& response) const {
   if (reply.outcome == OrderOutcome::kAccepted) {
-    return;  // renewals go on all the time
+    return;  // not logged, as renewals are frequent
   }
   transport::log_event("grant_failed", {{"outcome", std::string(to_string(reply.outcome))},
                                         {"order", std::to_string(order.id)},
--- a/src/controller/order_sender.hpp
+++ b/src/controller/order_sender.hpp
@@ -1,11 +1,13 @@
 #pragma once
-/// Carries orders about keys to back ends.
+/// Sends orders about keys to back ends.
 ///
 /// Invariants:
-///  - Grants of one back end go one after the other, on a connection that was opened for them: one
-///    to a machine that is gone never comes up, so its orders are known not to have been sent.
-///  - Releases wait for running work: each has a connection of its own, a few of one back end at a
-///    time, and they hold no grants up.
+///  - Grants to one back end are sent one at a time, on a connection that is opened for them. A
+///    connection to a lost machine is never established, so its orders are known not to have been
+///    sent.
+///  - A release is answered only after running work has ended. Each release uses its own
+///  connection,
+///    with a limited number in flight per back end, and releases never delay grants.
 
 #include <deque>
 #include <functional>
@@ -17,15 +19,15 @@
 namespace planktray::controller {
 
 struct OrderSenderOptions {
-  /// An order without an answer is given up after this time.
+  /// An order without an answer fails after its timeout.
   common::Duration grant_timeout = std::chrono::milliseconds(500);
   common::Duration release_timeout = std::chrono::milliseconds(3000);
   common::Duration connect_timeout = std::chrono::milliseconds(400);
   std::size_t connections_per_backend = 16;
-  /// Releases of one back end under way at once; the others wait for them, so that a back end that
-  /// gives up all its ranges can be asked for each. Its connections are shared with routers, and a
-  /// new one may take a slot of it for a moment.
-  std::size_t releases_at_once = 8;
+  /// Maximum releases in flight per back end; further ones are queued. The queue allows a back end
+  /// to release all its ranges without exhausting its connections, which it shares with routers; a
+  /// new connection may also occupy one of its slots for a moment.
+  std::size_t max_releases_in_flight = 8;
 };
 
 class OrderSender {
@@ -33,26 +35,26 @@
   using ReplyHandler =
       std::function<void(ownership::OrderId id, const ownership::OrderReply& reply)>;
 
-  /// @param interface says how orders look, and must outlive the sender.
+  /// @param interface encodes the orders and must outlive the sender.
   OrderSender(OrderSenderOptions options, const ControlInterface& interface, ReplyHandler on_reply);
 
   void send(const ownership::GrantOrder& order);
   void send(const ownership::ReleaseOrder& order);
 
   struct Counters {
-    std::uint64_t grants = 0;    ///< asked for
-    std::uint64_t releases = 0;  ///< asked for
-    std::uint64_t failed = 0;    ///< ended without the back end's answer
+    std::uint64_t grants = 0;    ///< requested
+    std::uint64_t releases = 0;  ///< requested
+    std::uint64_t failed = 0;    ///< ended without an answer of the back end
   };
   const Counters& counters() const { return counters_; }
-  /// Grants that wait for another of the same back end, or are under way.
+  /// Grants that are queued or in flight.
   std::size_t grants_open() const;
   std::size_t releases_open() const { return releases_open_; }
 
  private:
-  void send_next(common::BackendId backend);
-  void send_waiting_releases(common::BackendId backend);
-  void send_now(const ownership::ReleaseOrder& order);
+  void send_next_grant(common::BackendId backend);
+  void send_queued_releases(common::BackendId backend);
+  void send_release(const ownership::ReleaseOrder& order);
   void on_release_response(const ownership::ReleaseOrder& order,
                            const transport::HttpResponse& response);
   void on_grant_response(const ownership::GrantOrder& order,
@@ -66,13 +68,13 @@
   const ControlInterface& interface_;
   ReplyHandler on_reply_;
   transport::HttpClient client_;
-  std::map<common::BackendId, std::deque<ownership::GrantOrder>> waiting_;  ///< first: under way
+  std::map<common::BackendId, std::deque<ownership::GrantOrder>> grants_;  ///< front: in flight
   struct Releases {
-    std::deque<ownership::ReleaseOrder> waiting;
-    std::size_t under_way = 0;
+    std::deque<ownership::ReleaseOrder> queued;
+    std::size_t in_flight = 0;
   };
   std::map<common::BackendId, Releases> releases_;
-  std::size_t releases_open_ = 0;  ///< waiting or under way
+  std::size_t releases_open_ = 0;  ///< queued or in flight
   Counters counters_;
 };
 
