--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -19,7 +19,7 @@
 int main(int argc, char** argv) {
   CLI::App app(
       "planktray-controller: one replica of a cell. It keeps the replicated log, grants leases\n"
-      "to back ends and hands routing tables to routers.\n\n"
+      "to back ends and distributes routing tables to routers.\n\n"
       "Example:\n"
       "  planktray-controller --name controller-1 --data /var/lib/planktray \\\n"
       "    --peer-address 127.0.0.1:7101 --operator-address 127.0.0.1:7201 \\\n"
--- a/src/controller/promises.cpp
+++ b/src/controller/promises.cpp
@@ -5,10 +5,11 @@
 namespace planktray::controller {
 namespace {
 
-/// Routers say hello at least this often: more would cost a leader more than it brings.
+/// Lower bound of the hello interval: more frequent hellos would load the leader for little
+/// benefit.
 constexpr Duration kShortestHelloInterval = std::chrono::milliseconds(250);
-/// A change travels, commits and is installed within this time where nobody is full: some round
-/// trips of a few milliseconds, a sync, a sweep.
+/// Time in which a change is transmitted, committed and installed if no queue is full: some round
+/// trips of a few milliseconds, a disk sync and a sweep.
 constexpr Duration kDelivery = std::chrono::milliseconds(100);
 
 std::string text(Duration time) {
@@ -20,7 +21,8 @@
 
 Duration longest_hello_interval(Duration promised, Duration shortest_election,
                                 const routing::LeaderSearchOptions& search) {
-  // A new leader acknowledges nothing before its election, which the old one's last word precedes.
+  // A new leader acknowledges nothing before its election, which follows the last message of the
+  // previous leader.
   const Duration left = promised + shortest_election - search.longest() - kDelivery;
   return std::max(left, kShortestHelloInterval);
 }
@@ -37,15 +39,16 @@
   const Duration new_leader =
       hello_interval + search + kDelivery - options.raft.minimum_election_timeout;
   const Duration change = std::max({sent, lost, new_leader});
-  const std::string reason = "updates " + text(updates) + " apart, hellos " + text(hello_interval) +
-                             ", a lost update is sent again after " + text(lost) +
-                             ", a new leader is found " + text(new_leader) +
-                             " after it may acknowledge";
+  const std::string reason = "updates every " + text(updates) + ", hellos every " +
+                             text(hello_interval) + ", a lost update is resent after " +
+                             text(lost) + ", a new leader is found " + text(new_leader) +
+                             " after its first possible acknowledgement";
   const auto& grant = options.ranges.grant;
   const Duration hold = std::max(grant.longest_hold_time, grant.reported_hold_time);
   return {{"configuration in force", promised.in_force, change, reason},
           {"leaving back ends left alone", promised.leaving, change, reason},
-          {"longest hold of a grant", promised.longest_hold, hold, "the longest hold of settings"}};
+          {"longest hold of a grant", promised.longest_hold, hold,
+           "the longest hold time of the settings"}};
 }
 
 }  // namespace planktray::controller
--- a/src/controller/promises.hpp
+++ b/src/controller/promises.hpp
@@ -1,7 +1,7 @@
 #pragma once
-/// Compares the times that a deployment promises its users with the worst that the settings and the
-/// size of the fleet allow. Such a comparison shows on the first day what otherwise only a change
-/// of leader in a large fleet shows.
+/// Compares the times that a deployment promises its users with the worst case that the settings
+/// and the number of routers allow. The check reports a violation at start, rather than at the
+/// first leader change in a large fleet.
 
 #include <cstddef>
 #include <string>
@@ -18,18 +18,18 @@
 struct Promise {
   std::string name;
   Duration promised{0};
-  Duration worst_case{0};  ///< that the settings allow
-  std::string reason;      ///< what the worst is made of
+  Duration worst_case{0};  ///< longest time that the settings allow
+  std::string reason;      ///< the terms of the worst case
 
   bool holds() const { return promised.count() == 0 || worst_case <= promised; }
 };
 
-/// The longest interval between hellos with which what a new leader acknowledges reaches routers
-/// that nobody has told of it within `promised`.
+/// Returns the longest hello interval with which changes acknowledged by a new leader reach routers
+/// that have not been informed of this leader within `promised`.
 Duration longest_hello_interval(Duration promised, Duration shortest_election,
                                 const routing::LeaderSearchOptions& search);
 
-/// All promises, as the settings keep them with this many routers.
+/// Evaluates all promises for these settings and this number of routers.
 std::vector<Promise> check_promises(const PromisedTimes& promised, const ControllerOptions& options,
                                     std::size_t routers);
 
--- a/src/controller/settings.cpp
+++ b/src/controller/settings.cpp
@@ -9,7 +9,7 @@
 void add_common_settings(CLI::App& app, ControllerSettings& settings) {
   auto& options = settings.options;
   app.add_option("--cell", options.cell.value, "Name of the cell")->default_val("cell-1");
-  app.add_option("--name", options.name, "Name of this replica's place, such as controller-1")
+  app.add_option("--name", options.name, "Name of this replica's node, such as controller-1")
       ->required();
   app.add_option("--data", settings.data_folder, "Data folder, used by this process alone")
       ->required();
@@ -27,7 +27,7 @@
   add_milliseconds(app, "--lease-margin-ms", options.lease.margin, 1, 60'000,
                    "Wait beyond a lease's end, for clock drift");
   add_milliseconds(app, "--lease-timeout-ms", settings.lease_timeout, 10, 60'000,
-                   "A lease request without an answer is given up after this time");
+                   "A lease request without an answer fails after this time");
   add_milliseconds(app, "--release-wait-ms", options.lease.release_wait, 10, 600'000,
                    "How long an owner may finish running work before it releases a shard");
   add_milliseconds(app, "--table-lease-ms", options.distributor.table_lease, 100, 600'000,
@@ -36,17 +36,17 @@
                    "How often balancing may act");
   auto& ranges = options.ranges;
   add_milliseconds(app, "--load-half-life-ms", ranges.load_half_life, 50, 600'000,
-                   "Time after which what was seen of a key's requests counts half");
+                   "Half-life of the measured load of a key");
   app.add_option("--balance-limit", ranges.planner.max_imbalance,
-                 "A target may carry this many times its share before keys are moved off it")
+                 "Multiple of its fair share that a target may carry before keys move away")
       ->default_val(ranges.planner.max_imbalance)
       ->check(CLI::Range(1.0, 100.0));
   app.add_option("--balance-noise-factor", ranges.planner.noise_factor,
-                 "Standard deviations of a target's measured load that are borne in any case")
+                 "Standard deviations of a target's measured load that are always tolerated")
       ->default_val(ranges.planner.noise_factor)
       ->check(CLI::Range(0.0, 100.0));
   app.add_option("--balance-smallest-gain", ranges.planner.smallest_gain,
-                 "A move shifts at least this part of a target's share")
+                 "Minimum load that a move shifts, as a fraction of a target's fair share")
       ->default_val(ranges.planner.smallest_gain)
       ->check(CLI::Range(0.001, 10.0));
   app.add_option("--speed-sample-weight", ranges.speed_sample_weight,
--- a/src/controller/settings.hpp
+++ b/src/controller/settings.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Settings of the controller that stand in its settings file or on its command line.
+/// Settings of the controller, from its settings file or its command line.
 
 #include <CLI/CLI.hpp>
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace planktray::controller {
 
-/// Adds the settings that every controller has.
+/// Adds the settings that are common to all controllers.
 void add_common_settings(CLI::App& app, ControllerSettings& settings);
-/// Adds those of the product's own deployment: addresses, peers and the machine list.
+/// Adds the settings of the product's own deployment: addresses, peers and the machine list.
 void add_deployment_settings(CLI::App& app, ControllerSettings& settings);
-/// Checks what depends on several settings. @return a message, or nothing.
+/// Checks constraints between settings. @return an error message, or an empty string.
 std::string validate_settings(const ControllerSettings& settings);
 
 }  // namespace planktray::controller
