--- a/src/controller/controller_process.cpp
+++ b/src/controller/controller_process.cpp
@@ -17,10 +17,10 @@
 
 constexpr std::size_t kMaxOperatorBody = 4 * 1024 * 1024;
 constexpr std::size_t kConnectionsPerBackend = 8;
-/// A leader says what it is busy with this often: a line of some 300 bytes.
+/// Interval of the `leader_load` log lines of some 300 bytes each.
 constexpr common::Duration kLoadLogInterval = std::chrono::seconds(1);
-/// Lease requests under way to one machine; a frozen machine must not gather more.
-constexpr int kLeasesInFlight = 4;
+/// Maximum lease requests in flight to one machine, so that they do not pile up while it is frozen.
+constexpr int kMaxLeasesInFlight = 4;
 
 common::RandomEngine seeded_engine() {
   std::random_device device;
@@ -38,7 +38,7 @@
 ControllerProcess::ControllerProcess(ControllerSettings settings)
     : settings_(std::move(settings)), alarm_([this] { tick(); }) {}
 
-common::Result<void> ControllerProcess::open_folder() {
+common::Result<void> ControllerProcess::open_data_folder() {
   auto disk = transport::FileDisk::open(settings_.data_folder);
   if (!disk.has_value()) {
     return tl::unexpected(disk.error());
@@ -60,7 +60,7 @@
   worker_ = std::make_unique<transport::StorageWorker>(
       *store_, [this](const auto& persisted) { on_persisted(persisted); },
       [this](const common::Error& error) {
-        disk_refuses_ = true;
+        disk_is_failing_ = true;
         log_error("data_folder_refuses", error);
       });
   return {};
@@ -108,7 +108,7 @@
 }
 
 common::Result<void> ControllerProcess::start() {
-  if (auto opened = open_folder(); !opened) {
+  if (auto opened = open_data_folder(); !opened) {
     return opened;
   }
   if (auto opened = open_sockets(); !opened) {
@@ -119,7 +119,7 @@
       return created;
     }
   }
-  note_promises(0);
+  log_promise_changes(0);
   log_event("started", {{"replica", std::to_string(core_->raft().self().value)},
                         {"applied", std::to_string(core_->state().applied().value)}});
   return {};
@@ -150,7 +150,7 @@
   if (!fresh.has_value()) {
     return log_error("settings_refused", fresh.error());
   }
-  // What holds for a running process; everything else takes effect at its next start.
+  // Only these settings apply to a running process. All others take effect at its next start.
   settings_.peers = fresh->peers;
   log_event("settings_reloaded", {{"peers", std::to_string(settings_.peers.size())}});
 }
@@ -163,19 +163,19 @@
 
 void ControllerProcess::flush() {
   if (flushing_) {
-    return;  // the loop below picks up what was added
+    return;  // the loop of the outer call processes the new output
   }
   flushing_ = true;
   for (ControllerOutput output = core_->take_output(); !output.empty();
        output = core_->take_output()) {
-    carry_out(output);
+    execute(output);
   }
   flushing_ = false;
-  log_changes();
+  log_leadership_change();
   alarm_.set(core_->next_due(boot_time_now()));
 }
 
-void ControllerProcess::carry_out(ControllerOutput& output) {
+void ControllerProcess::execute(ControllerOutput& output) {
   if (!output.persist.empty()) {
     worker_->submit(std::move(output.persist));
   }
@@ -248,7 +248,7 @@
   };
   const common::TimePoint now = boot_time_now();
   for (const KeysMoving& moving : output.keys_moving) {
-    if (key_lines_.allows(now)) {
+    if (key_move_limit_.allows(now)) {
       log_event("keys_moving", {{"service", moving.service.value},
                                 {"keys", keys_text(moving.keys)},
                                 {"from", moving.from.value},
@@ -257,7 +257,7 @@
     }
   }
   for (const KeysGiven& given : output.keys_given) {
-    if (key_lines_.allows(now)) {
+    if (key_move_limit_.allows(now)) {
       const auto gap = given.without_owner;
       log_event(
           "keys_given",
@@ -295,7 +295,7 @@
     }
     return;
   }
-  // A replica that is still joining answers a leader whose address it does not know yet.
+  // A joining replica replies to a leader whose address it does not have yet.
   const auto identity = replica_identities_.find(message.to);
   if (identity != replica_identities_.end()) {
     server_socket_->send(identity->second, transport::WireMessage(message));
@@ -323,8 +323,8 @@
     core_->on_peer_message(now, *raft);
   } else if (const auto* join = std::get_if<consensus::JoinRequest>(&message.value)) {
     core_->on_join(now, *join);
-  } else if (const auto* heard = std::get_if<membership::HeartbeatReport>(&message.value)) {
-    core_->on_heartbeat_report(now, *heard);
+  } else if (const auto* report = std::get_if<membership::HeartbeatReport>(&message.value)) {
+    core_->on_heartbeat_report(now, *report);
   } else if (const auto* hello = std::get_if<routing::RouterHello>(&message.value)) {
     if (!identity.empty()) {
       router_identities_[hello->router] = identity;
@@ -336,13 +336,13 @@
 
 void ControllerProcess::on_persisted(const common::Result<std::uint64_t>& persisted) {
   if (!persisted.has_value()) {
-    // What the folder holds is not known any more: a replica that cannot write must not answer.
+    // The contents of the folder are uncertain, and a replica that cannot persist must not respond.
     log_error("data_folder_failed", persisted.error());
     exit_code_ = transport::kExitFailure;
     loop_.quit();
     return;
   }
-  if (std::exchange(disk_refuses_, false)) {
+  if (std::exchange(disk_is_failing_, false)) {
     log_event("data_folder_back", {});
   }
   core_->on_persisted(boot_time_now(), *persisted);
@@ -351,7 +351,7 @@
 
 void ControllerProcess::send_lease(const ownership::OutgoingLease& lease) {
   int& in_flight = leases_in_flight_[lease.machine];
-  if (in_flight >= kLeasesInFlight) {
+  if (in_flight >= kMaxLeasesInFlight) {
     return;
   }
   ++in_flight;
@@ -420,9 +420,9 @@
     common::Result<membership::MachineList> list =
         response.is_whole() ? transport::parse_machine_list(response.text(), settings_.platform_url)
                             : tl::unexpected(response.error);
-    if (list.has_value() != had_platform_) {
-      had_platform_ = list.has_value();
-      if (had_platform_) {
+    if (list.has_value() != platform_list_available_) {
+      platform_list_available_ = list.has_value();
+      if (platform_list_available_) {
         log_event("platform_list_back", {{"peer", settings_.platform_url}});
       } else {
         log_error("platform_list_lost", list.error());
@@ -435,11 +435,11 @@
   });
 }
 
-void ControllerProcess::log_changes() {
-  const bool leads = core_->raft().is_leader();
-  if (leads != was_leader_) {
-    was_leader_ = leads;
-    log_event(leads ? "became_leader" : "lost_leadership",
+void ControllerProcess::log_leadership_change() {
+  const bool is_leader = core_->raft().is_leader();
+  if (is_leader != was_leader_) {
+    was_leader_ = is_leader;
+    log_event(is_leader ? "became_leader" : "lost_leadership",
               {{"term", std::to_string(core_->raft().term().value)}});
   }
 }
@@ -459,11 +459,11 @@
 
 void ControllerProcess::log_load() {
   const LoadTotals totals = load_totals();
-  const LoadTotals before = std::exchange(logged_, totals);
+  const LoadTotals before = std::exchange(logged_totals_, totals);
   const ActivityMeter::Times times = meter_.take();
-  const common::Duration turn = loop_.take_longest_turn();
-  const common::Duration late = alarm_.take_latest_call();
-  const common::Duration persisted = worker_->take_longest_persist();
+  const common::Duration longest_turn = loop_.take_longest_turn();
+  const common::Duration latest_call = alarm_.take_latest_call();
+  const common::Duration longest_persist = worker_->take_longest_persist();
   if (!core_->raft().is_leader()) {
     return;
   }
@@ -471,32 +471,34 @@
   const auto ms = [](common::Duration time) {
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(time).count());
   };
-  std::string spent;
+  std::string times_text;
   for (std::size_t i = 0; i < times.size(); ++i) {
-    spent +=
+    times_text +=
         (i == 0 ? "" : ",") + std::string(to_string(static_cast<Activity>(i))) + ":" + ms(times[i]);
   }
-  const auto grown = [](std::uint64_t to, std::uint64_t from) { return std::to_string(to - from); };
-  note_promises(core_->distributor().routers(now).size());
+  const auto increase = [](std::uint64_t to, std::uint64_t from) {
+    return std::to_string(to - from);
+  };
+  log_promise_changes(core_->distributor().routers(now).size());
   const auto laggard = core_->distributor().laggard(now);
   log_event("leader_load",
             {{"processor_ms", ms(totals.processor - before.processor)},
-             {"loop_ms", spent},
-             {"longest_turn_ms", ms(turn)},
-             {"latest_call_ms", ms(late)},
-             {"longest_persist_ms", ms(persisted)},
-             {"entries", grown(totals.core.entries_applied, before.core.entries_applied)},
-             {"plans", grown(totals.core.range_plans, before.core.range_plans)},
-             {"hellos", grown(totals.core.hellos, before.core.hellos)},
-             {"heartbeats", grown(totals.core.heartbeats, before.core.heartbeats)},
-             {"accepted", grown(totals.accepted, before.accepted)},
+             {"loop_ms", times_text},
+             {"longest_turn_ms", ms(longest_turn)},
+             {"latest_call_ms", ms(latest_call)},
+             {"longest_persist_ms", ms(longest_persist)},
+             {"entries", increase(totals.core.entries_applied, before.core.entries_applied)},
+             {"plans", increase(totals.core.range_plans, before.core.range_plans)},
+             {"hellos", increase(totals.core.hellos, before.core.hellos)},
+             {"heartbeats", increase(totals.core.heartbeats, before.core.heartbeats)},
+             {"accepted", increase(totals.accepted, before.accepted)},
              {"connections",
               std::to_string(control_server_ == nullptr ? 0 : control_server_->connections())},
-             {"messages", grown(totals.messages_sent, before.messages_sent)},
-             {"bytes", grown(totals.bytes_sent, before.bytes_sent)},
-             {"grants", grown(totals.orders.grants, before.orders.grants)},
-             {"releases", grown(totals.orders.releases, before.orders.releases)},
-             {"orders_failed", grown(totals.orders.failed, before.orders.failed)},
+             {"messages", increase(totals.messages_sent, before.messages_sent)},
+             {"bytes", increase(totals.bytes_sent, before.bytes_sent)},
+             {"grants", increase(totals.orders.grants, before.orders.grants)},
+             {"releases", increase(totals.orders.releases, before.orders.releases)},
+             {"orders_failed", increase(totals.orders.failed, before.orders.failed)},
              {"grants_open", std::to_string(orders_ == nullptr ? 0 : orders_->grants_open())},
              {"releases_open", std::to_string(orders_ == nullptr ? 0 : orders_->releases_open())},
              {"ranges", std::to_string(core_->ranges().grants().holdings())},
@@ -504,11 +506,11 @@
              {"behind_router", laggard.has_value() ? laggard->router.value : ""}});
 }
 
-void ControllerProcess::note_promises(std::size_t routers) {
+void ControllerProcess::log_promise_changes(std::size_t routers) {
   for (const Promise& promise : check_promises(settings_.promised, settings_.options, routers)) {
-    const bool is_news = promise.holds() ? broken_promises_.erase(promise.name) > 0
-                                         : broken_promises_.insert(promise.name).second;
-    if (!is_news) {
+    const bool has_changed = promise.holds() ? violated_promises_.erase(promise.name) > 0
+                                             : violated_promises_.insert(promise.name).second;
+    if (!has_changed) {
       continue;
     }
     const auto ms = [](common::Duration time) { return std::to_string(time.count() / 1000); };
--- a/src/controller/controller_process.hpp
+++ b/src/controller/controller_process.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// The shell around ControllerCore: GLib main loop, ZeroMQ, HTTP and the data folder.
+/// Runs a ControllerCore: connects it to the GLib main loop, ZeroMQ, HTTP and the data folder.
 
 #include <functional>
 #include <map>
@@ -31,23 +31,25 @@
 struct ControllerSettings {
   ControllerOptions options;
   std::string data_folder;
-  /// "IP:port" of the product's operator API, where it is not the address that members know.
+  /// "IP:port" of the product's operator API; empty: options.operator_address, which is the address
+  /// that other members use.
   std::string operator_listen;
   std::vector<std::string> peers;  ///< ZeroMQ endpoints of the other controllers
   std::string platform_url;        ///< "http://IP:port/machines"
   common::Duration platform_interval = std::chrono::milliseconds(500);
   common::Duration lease_timeout = std::chrono::milliseconds(400);
-  /// The whole system starts for the first time: with an empty folder, a founder makes the cell.
+  /// The whole system starts for the first time: a founder with an empty data folder bootstraps the
+  /// cell.
   bool first_start = false;
   std::vector<FoundingAddress> founders;
-  /// "IP:port" of the deployment's own interface; empty: none.
+  /// "IP:port" of the deployment's ControlInterface; used only if `make_control` is set.
   std::string control_address;
   ControlInterfaceFactory make_control;
   OrderSenderOptions orders;
   PromisedTimes promised;
 
-  std::string settings_path;  ///< file whose change is a reason to read the settings anew
-  /// Reads the settings anew; none: they never change.
+  std::string settings_path;  ///< file whose changes trigger a reload
+  /// Reads the settings again; empty: the settings are never reloaded.
   std::function<common::Result<ControllerSettings>()> reload;
 
   const std::string& operator_listen_address() const {
@@ -59,18 +61,18 @@
  public:
   explicit ControllerProcess(ControllerSettings settings);
 
-  /// Opens the data folder and the sockets. @return the first failure.
+  /// Opens the data folder and the sockets. @return the first error.
   common::Result<void> start();
-  /// Runs until SIGTERM. @return an exit code.
+  /// Runs until SIGTERM or a failure of the data folder. @return the exit code of the process.
   int run();
 
  private:
-  common::Result<void> open_folder();
+  common::Result<void> open_data_folder();
   common::Result<void> open_sockets();
   void reload();
   void tick();
   void flush();
-  void carry_out(ControllerOutput& output);
+  void execute(ControllerOutput& output);
   void send_peer(const consensus::RaftMessage& message);
   void send_to_leader(const transport::WireMessage& message);
   void send_lease(const ownership::OutgoingLease& lease);
@@ -80,13 +82,14 @@
   void poll_platform();
   void on_message(const std::string& identity, const transport::WireMessage& message);
   void on_persisted(const common::Result<std::uint64_t>& persisted);
-  void log_changes();
-  /// Writes what the last second of a leader was spent on.
+  void log_leadership_change();
+  /// Logs the load of the last second if this replica is the leader.
   void log_load();
-  /// Writes a line for each promise that the settings cannot keep with this many routers, where
-  /// the last look said otherwise.
-  void note_promises(std::size_t routers);
+  /// Evaluates the promises for this number of routers and logs each one whose state has changed
+  /// since the last evaluation.
+  void log_promise_changes(std::size_t routers);
   void update_metrics();
+  /// Returns the connection to a controller, creating it if needed; nullptr if that fails.
   transport::ZmqSocket* dealer(const std::string& address);
 
   ControllerSettings settings_;
@@ -109,13 +112,13 @@
   std::map<std::string, std::unique_ptr<transport::ZmqSocket>> dealers_;
   std::map<common::ReplicaId, std::string> replica_identities_;
   std::map<common::RouterName, std::string> router_identities_;
-  /// A service that is replaced moves hundreds of ranges in some seconds.
-  transport::LineLimit key_lines_{{.lines_per_second = 20, .burst = 100}};
+  /// Replacing a service moves hundreds of ranges within some seconds.
+  transport::LineLimit key_move_limit_{{.lines_per_second = 20, .burst = 100}};
   std::map<common::MachineName, int> leases_in_flight_;
   std::uint64_t lease_failures_ = 0;
   std::uint64_t leases_sent_ = 0;
   ActivityMeter meter_{transport::thread_time_used};
-  /// Totals at the last line about the leader's load.
+  /// Totals since the start of the process; `leader_load` logs their increase.
   struct LoadTotals {
     common::Duration processor{0};
     ControllerCounters core;
@@ -124,13 +127,13 @@
     std::uint64_t bytes_sent = 0;
     std::uint64_t accepted = 0;
   };
-  LoadTotals logged_;
+  LoadTotals logged_totals_;  ///< as of the last interval
   LoadTotals load_totals() const;
-  std::set<std::string> broken_promises_;  ///< by the settings, as last logged
+  std::set<std::string> violated_promises_;  ///< names, as last logged
   bool was_leader_ = false;
-  bool had_platform_ = true;
+  bool platform_list_available_ = true;
   bool flushing_ = false;
-  bool disk_refuses_ = false;
+  bool disk_is_failing_ = false;
   int exit_code_ = 0;
 };
 
