--- a/src/router/native_dialect.cpp
+++ b/src/router/native_dialect.cpp
@@ -22,7 +22,7 @@
 constexpr unsigned kStatusUnavailable = 503;
 constexpr unsigned kStatusTimeout = 504;
 
-/// "/tenant/service/..." @return false where the path has no two parts.
+/// Reads a path of the form "/tenant/service/...". @return false if a segment is missing or empty.
 bool parse_path(const std::string& path, common::ServiceKey& service) {
   const auto first = path.find('/', 1);
   if (path.empty() || path[0] != '/' || first == std::string::npos) {
@@ -55,30 +55,31 @@
 
 transport::HeaderList forwardable_headers(const transport::HeaderList& headers,
                                           std::string_view own_prefix) {
-  constexpr std::array<std::string_view, 12> kOwn = {"Connection",
-                                                     "Keep-Alive",
-                                                     "Proxy-Connection",
-                                                     "Transfer-Encoding",
-                                                     "TE",
-                                                     "Trailer",
-                                                     "Upgrade",
-                                                     "Host",
-                                                     "Content-Length",
-                                                     "Expect",
-                                                     "Date",
-                                                     "Server"};
-  const auto is_kept = [&](const auto& header) {
+  constexpr std::array<std::string_view, 12> kNotForwarded = {"Connection",
+                                                              "Keep-Alive",
+                                                              "Proxy-Connection",
+                                                              "Transfer-Encoding",
+                                                              "TE",
+                                                              "Trailer",
+                                                              "Upgrade",
+                                                              "Host",
+                                                              "Content-Length",
+                                                              "Expect",
+                                                              "Date",
+                                                              "Server"};
+  const auto is_forwarded = [&](const auto& header) {
     const std::string_view name = header.first;
-    const bool is_ours =
+    const bool has_own_prefix =
         !own_prefix.empty() && name.size() >= own_prefix.size() &&
         transport::equals_ignoring_case(name.substr(0, own_prefix.size()), own_prefix);
-    return !is_ours && std::none_of(kOwn.begin(), kOwn.end(), [&](std::string_view own) {
-      return transport::equals_ignoring_case(own, name);
-    });
+    return !has_own_prefix &&
+           std::none_of(kNotForwarded.begin(), kNotForwarded.end(), [&](std::string_view excluded) {
+             return transport::equals_ignoring_case(excluded, name);
+           });
   };
-  transport::HeaderList kept;
-  std::copy_if(headers.begin(), headers.end(), std::back_inserter(kept), is_kept);
-  return kept;
+  transport::HeaderList forwarded;
+  std::copy_if(headers.begin(), headers.end(), std::back_inserter(forwarded), is_forwarded);
+  return forwarded;
 }
 
 common::Result<ParsedRequest> NativeDialect::parse(const transport::HttpExchange& exchange) const {
--- a/src/router/native_dialect.hpp
+++ b/src/router/native_dialect.hpp
@@ -9,7 +9,7 @@
 
 class NativeDialect final : public RequestDialect {
  public:
-  /// @param router name told in errors.
+  /// @param router name of this router, for error bodies.
   explicit NativeDialect(std::string router) : router_(std::move(router)) {}
 
   common::Result<ParsedRequest> parse(const transport::HttpExchange& exchange) const override;
--- a/src/router/request_dialect.hpp
+++ b/src/router/request_dialect.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// How requests and answers look on the wire, to callers and to back ends. The router's process
-/// knows HTTP; the names of headers, and which statuses mean what, are the dialect's.
+/// Encoding of requests and answers, towards callers and back ends. RouterProcess handles HTTP in
+/// general; a dialect defines header names and the meaning of statuses.
 
 #include <string>
 #include <string_view>
@@ -13,8 +13,8 @@
 
 /// A request of a caller in parsed form.
 struct ParsedRequest {
-  CallerRequest request;   ///< its handle is set by the process
-  std::string request_id;  ///< as the caller sent it, or made here where it sent none
+  CallerRequest request;   ///< RouterProcess sets its handle
+  std::string request_id;  ///< from the caller; if absent, a dialect may generate it
 };
 
 class RequestDialect {
@@ -24,24 +24,24 @@
   RequestDialect& operator=(const RequestDialect&) = delete;
   virtual ~RequestDialect() = default;
 
-  /// @return kInvalid where the request can never run as it is.
+  /// @return kInvalid if the request can never run in this form.
   virtual common::Result<ParsedRequest> parse(const transport::HttpExchange& exchange) const = 0;
   /// Answers a request that parse() refused.
   virtual void refuse(transport::HttpExchange& exchange, const common::Error& error) const = 0;
-  /// The request as a back end gets it. Its address is the process's.
+  /// Encodes the request for a back end. The caller sets the address.
   virtual transport::HttpRequest to_backend(const transport::HttpExchange& exchange,
                                             const ParsedRequest& parsed,
                                             const Forward& forward) const = 0;
-  /// A digest of what the request is: the same for each try of the same request, by any router.
-  /// @return 0 where the dialect makes none.
+  /// Returns a digest that identifies the request: equal for each attempt of the same request at
+  /// any router; 0 if the dialect does not compute one.
   virtual routing::RequestDigest digest(const transport::HttpExchange& /*exchange*/) const {
     return 0;
   }
-  /// What a response, or the lack of one, says of the attempt. @param expected the incarnation
-  /// that the request was sent to.
+  /// Determines the result of an attempt from its response or its error. @param expected the
+  /// incarnation that the request was sent to.
   virtual AttemptResult classify(const ParsedRequest& parsed, const common::Incarnation& expected,
                                  const transport::HttpResponse& response) const = 0;
-  /// Passes a back end's answer on.
+  /// Sends a back end's answer to the caller.
   virtual void forward_response(transport::HttpExchange& exchange, const ParsedRequest& parsed,
                                 const transport::HttpResponse& response) const = 0;
   /// Answers "not run" or "unknown".
@@ -49,8 +49,8 @@
                       const Answer& answer) const = 0;
 };
 
-/// Headers that are passed on: all but those of one connection (RFC 9110, 7.6.1), those that the
-/// router sets by itself for every message, and those with the prefix `own_prefix`.
+/// Returns the headers to forward: all except connection-specific ones (RFC 9110, 7.6.1), those
+/// that the router sets itself on every message, and those with the prefix `own_prefix`.
 transport::HeaderList forwardable_headers(const transport::HeaderList& headers,
                                           std::string_view own_prefix);
 
