--- a/src/router/settings.cpp
+++ b/src/router/settings.cpp
@@ -8,27 +8,28 @@
 
 namespace {
 
-/// What the machine gives this process; what is not stated bounds nothing.
+/// Adds the limits of the machine. A resource without a stated limit is unlimited.
 void add_machine_limits(CLI::App& app, config::MachineLimits& machine) {
   constexpr double kBitsPerMegabit = 1e6;
   constexpr std::size_t kBytesPerMebibyte = std::size_t{1} << 20U;
-  /// Of each kind far beyond any machine's; a smaller link than 0.1 Mbit/s carries no request.
-  constexpr double kMost = 1e6;
-  constexpr double kNarrowestLink = 0.1;
+  /// Upper bound of all limits, far beyond any machine. Links below 0.1 Mbit/s are too slow for
+  /// requests.
+  constexpr double kMaxLimit = 1e6;
+  constexpr double kMinLinkRate = 0.1;
   const auto add = [&app](const std::string& name, const std::string& help, auto take) {
     return app.add_option_function<double>(name, std::move(take), help);
   };
-  add("--link-mbps", "What the machine's link carries each way, in Mbit/s; 0: not stated",
+  add("--link-mbps", "Rate of the machine's link in each direction, in Mbit/s; 0: not stated",
       [&machine](double value) { machine.link_bits_per_second = value * kBitsPerMegabit; })
-      ->check(CLI::Range(kNarrowestLink, kMost) | CLI::Range(0.0, 0.0));
+      ->check(CLI::Range(kMinLinkRate, kMaxLimit) | CLI::Range(0.0, 0.0));
   add("--memory-mb", "Memory that the process may take, in MiB; not enforced yet",
       [&machine](double value) {
         machine.memory_bytes = static_cast<std::size_t>(value * kBytesPerMebibyte);
       })
-      ->check(CLI::Range(0.0, kMost));
+      ->check(CLI::Range(0.0, kMaxLimit));
   add("--processor-share", "Share of a core that the process gets; not enforced yet",
       [&machine](double value) { machine.processor_share = value; })
-      ->check(CLI::Range(0.0, kMost));
+      ->check(CLI::Range(0.0, kMaxLimit));
   app.add_option("--descriptors", machine.descriptors,
                  "File descriptors that the process may open; not enforced yet");
 }
@@ -50,7 +51,7 @@
       ->default_val(settings.connections_per_backend)
       ->check(CLI::Range(1, 10'000));
   app.add_option("--minimum-subset", options.minimum_subset,
-                 "Targets of a service that this router uses at least")
+                 "Minimum targets of a service that this router uses")
       ->default_val(options.minimum_subset)
       ->check(CLI::Range(1, 10'000));
   add_milliseconds(app, "--hello-interval-ms", options.hello_interval, 10, 10'000,
@@ -58,22 +59,22 @@
   add_milliseconds(app, "--load-interval-ms", options.load_interval, 50, 60'000,
                    "How often the load of shards and keys is reported");
   app.add_option("--other-zone-cost", options.other_zone_cost,
-                 "A target in another zone counts as slower by this part")
+                 "A target in another zone counts as slower by this fraction")
       ->default_val(options.other_zone_cost)
       ->check(CLI::Range(0.0, 10.0));
   add_milliseconds(app, "--table-lease-ms", options.table_lease, 100, 600'000,
                    "How long to serve without confirmation; the same in every process");
-  add_milliseconds(app, "--oldest-table-ms", options.freshness.max_age, 0, 600'000,
-                   "The oldest table to decide requests on routes with while controllers answer; "
-                   "0: any");
+  add_milliseconds(
+      app, "--oldest-table-ms", options.freshness.max_age, 0, 600'000,
+      "Maximum table age for requests on routes while controllers answer; 0: unlimited");
   add_milliseconds(app, "--connect-timeout-ms", settings.connect_timeout, 1, 60'000,
-                   "A back end whose connection is not up by then gets nothing: another is asked");
+                   "Connect timeout to a back end; another back end is tried after it");
   add_milliseconds(app, "--settle-time-ms", settings.settle_time, 0, 1'000,
-                   "What may not be repeated is written once its connection is up for so long");
+                   "Time that a connection is up before non-repeatable requests are written");
   add_milliseconds(app, "--unacknowledged-timeout-ms", settings.unacknowledged_timeout, 0, 600'000,
                    "Ends a back end's connection whose sent bytes are not acknowledged; 0: never");
   add_milliseconds(app, "--warm-up-ms", options.warm_up, 1, 600'000,
-                   "Time in which a new target reaches its full share");
+                   "Time in which a new target ramps up to its full share");
   add_milliseconds(app, "--drain-timeout-ms", settings.drain_timeout, 0, 3'600'000,
                    "Longest wait for requests in flight at a stop");
 }
--- a/src/router/settings.hpp
+++ b/src/router/settings.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Settings of the router that stand in its settings file or on its command line.
+/// Settings of the router, from its settings file or its command line.
 
 #include <CLI/CLI.hpp>
 
@@ -7,9 +7,9 @@
 
 namespace planktray::router {
 
-/// Adds the settings that every router has.
+/// Adds the settings that are common to all routers.
 void add_common_settings(CLI::App& app, RouterSettings& settings);
-/// Adds those of the product's own deployment: the callers' address and the controllers.
+/// Adds the settings of the product's own deployment: the callers' address and the controllers.
 void add_deployment_settings(CLI::App& app, RouterSettings& settings);
 
 }  // namespace planktray::router
