--- a/src/router/request_log.cpp
+++ b/src/router/request_log.cpp
@@ -33,8 +33,8 @@
              {"inbound_backlog_ms", milliseconds_text(change.inbound_backlog)}});
 }
 
-void RequestLog::repeated(common::TimePoint now, const ParsedRequest& parsed,
-                          const Forward& forward) {
+void RequestLog::request_repeated(common::TimePoint now, const ParsedRequest& parsed,
+                                  const Forward& forward) {
   if (!limit_.allows(now)) {
     return;
   }
@@ -68,7 +68,7 @@
              {"refusal", refused ? std::string(routing::to_string(result.refusal)) : "none"},
              {"status", std::to_string(response.status)},
              {"answered_by", result.answered_by.value},
-             {"took_ms", milliseconds_text(now - attempt.sent)},
+             {"took_ms", milliseconds_text(now - attempt.sent_at)},
              {"error", response.error.message}});
 }
 
@@ -101,7 +101,7 @@
                               {"peer", attempt.address},
                               {"instance", attempt.incarnation.value},
                               {"bytes", std::to_string(attempt.bytes)},
-                              {"since_choice_ms", milliseconds_text(now - attempt.sent)}});
+                              {"since_choice_ms", milliseconds_text(now - attempt.sent_at)}});
 }
 
 void RequestLog::leaving_while_written(common::TimePoint now, const Departure& departure,
@@ -121,33 +121,34 @@
 
 void RequestLog::load_unread(common::TimePoint now, const SentAttempt& attempt,
                              const std::string& text) {
-  ++unread_loads_;
+  ++unparsed_loads_;
   if (!load_limit_.allows(now)) {
     return;
   }
-  constexpr std::size_t kLongest = 64;
+  constexpr std::size_t kMaxTextLength = 64;
   log_event("load_unread", {{"service", attempt.service},
                             {"peer", attempt.address},
                             {"instance", attempt.incarnation.value},
-                            {"text", text.substr(0, kLongest)},
-                            {"total", std::to_string(unread_loads_)}});
+                            {"text", text.substr(0, kMaxTextLength)},
+                            {"total", std::to_string(unparsed_loads_)}});
 }
 
 void RequestLog::header_unread(common::TimePoint now, const SentAttempt& attempt,
                                const UnrecognizedHeader& header) {
-  constexpr std::size_t kMostNames = 32;
-  ++unread_headers_;
-  const bool is_new = unread_names_.size() < kMostNames && unread_names_.insert(header.name).second;
+  constexpr std::size_t kMaxNames = 32;
+  ++unrecognized_headers_;
+  const bool is_new =
+      unrecognized_names_.size() < kMaxNames && unrecognized_names_.insert(header.name).second;
   if (!is_new && !load_limit_.allows(now)) {
     return;
   }
-  constexpr std::size_t kLongest = 64;
+  constexpr std::size_t kMaxTextLength = 64;
   log_event("header_unread", {{"service", attempt.service},
                               {"peer", attempt.address},
                               {"instance", attempt.incarnation.value},
-                              {"name", header.name.substr(0, kLongest)},
-                              {"text", header.value.substr(0, kLongest)},
-                              {"total", std::to_string(unread_headers_)}});
+                              {"name", header.name.substr(0, kMaxTextLength)},
+                              {"text", header.value.substr(0, kMaxTextLength)},
+                              {"total", std::to_string(unrecognized_headers_)}});
 }
 
 void RequestLog::limit_changed(common::TimePoint now, const LimitChange& change) {
@@ -178,8 +179,8 @@
                                   {"time_ms", milliseconds_text(request.time)}});
 }
 
-void RequestLog::refused(common::TimePoint now, const ParsedRequest& parsed, const Answer& answer,
-                         const RefusalTimes& times) {
+void RequestLog::request_refused(common::TimePoint now, const ParsedRequest& parsed,
+                                 const Answer& answer, const RefusalTimes& times) {
   if (!limit_.allows(now)) {
     return;
   }
@@ -193,7 +194,7 @@
              {"took_ms", milliseconds_text(times.took)},
              {"route", answer.route},
              {"stated_ms", std::to_string(parsed.request.timeout_ms)},
-             {"unread_ms", milliseconds_text(times.unread)},
+             {"unread_ms", milliseconds_text(times.read_time)},
              {"expected_ms",
               answer.expected.has_value() ? milliseconds_text(*answer.expected) : "unknown"},
              {"retry_after_ms", milliseconds_text(answer.retry_after)},
--- a/src/router/request_log.hpp
+++ b/src/router/request_log.hpp
@@ -1,7 +1,6 @@
 #pragma once
-/// Log lines of a router's decisions about single requests: every attempt that failed, every
-/// repeat and every request that was not answered by a back end. Requests that were answered at
-/// the first attempt are counted in metrics only.
+/// Logs a router's decisions about single requests: failed attempts, retries and requests that no
+/// back end answered. Requests that are answered at the first attempt are only counted in metrics.
 
 #include <cstdint>
 #include <optional>
@@ -14,107 +13,112 @@
 
 namespace planktray::router {
 
-/// An attempt as it was sent, kept until it ends.
+/// An attempt that has been sent. It is kept until the attempt ends.
 struct SentAttempt {
   std::string address;
   common::Incarnation incarnation;
   std::string service;
   std::uint32_t number = 1;
   std::string request_id;
-  common::TimePoint sent;  ///< when its back end was chosen
-  std::size_t bytes = 0;   ///< of its body
-  /// Of the table that chose the back end; nothing where it was never confirmed.
+  common::TimePoint sent_at;  ///< when the back end was chosen
+  std::size_t bytes = 0;      ///< of its body
+  /// Age of the table when the back end was chosen; nullopt if the table was never confirmed.
   std::optional<common::Duration> table_age;
-  // Each since `sent`; nothing before it is reached.
-  std::optional<common::Duration> connected;  ///< never for a connection that was used before
-  std::optional<common::Duration> begun;      ///< the system had taken its first byte
-  std::optional<common::Duration> written;    ///< the system had taken all of it
+  // Times since `sent_at`; nullopt until the stage is reached.
+  std::optional<common::Duration> connected;  ///< not set on a reused connection
+  std::optional<common::Duration> begun;      ///< the operating system accepted its first byte
+  std::optional<common::Duration> written;    ///< the operating system accepted its last byte
 };
 
-/// What was still on its way to a back end when the table said that it is leaving or gone.
+/// Attempts that were not completely written when the table marked their back end as leaving or
+/// removed it.
 struct UnwrittenAttempts {
   std::size_t attempts = 0;
-  std::size_t begun = 0;  ///< of these
-  std::size_t bytes = 0;  ///< of their bodies
+  std::size_t begun = 0;  ///< those whose first byte was written
+  std::size_t bytes = 0;  ///< total size of their bodies
 };
 
-/// An update of the table that came late.
+/// A table update that arrived late.
 struct LateUpdate {
   common::TimePoint now;
   std::string peer;                  ///< address of the controller that sent it
-  common::Duration delay{0};         ///< since the moment as of which it shows the table
-  common::Duration age_before{0};    ///< of the table, just before it was taken
-  common::LogIndex table_index;      ///< after it
-  common::Duration longest_turn{0};  ///< of this router's main loop since the line before
+  common::Duration delay{0};         ///< since the time as of which the update describes the table
+  common::Duration age_before{0};    ///< of the table, just before the update was applied
+  common::LogIndex table_index;      ///< after the update
+  common::Duration longest_turn{0};  ///< of the router's main loop since the previous late update
 };
 
-/// What a router knows as it takes itself to be cut off from its controllers, or hears them again.
+/// State of a router when it detects that it has lost or regained contact with its controllers.
 struct ContactChange {
   bool in_contact = false;
   common::LogIndex table_index;
-  std::optional<common::Duration> table_age;  ///< nothing where it was never confirmed
-  // Time that waiting bodies take at the link; 0 where the link has no pace.
+  std::optional<common::Duration> table_age;  ///< nullopt if it was never confirmed
+  // Time that queued bodies need at the link rate; 0 if the link is not paced.
   common::Duration outbound_backlog{0};
   common::Duration inbound_backlog{0};
 };
 
 /// Times of a request that ends without a back end's answer.
 struct RefusalTimes {
-  common::Duration took{0};    ///< since it was read
-  common::Duration unread{0};  ///< from its first byte until it was read
-  /// Since the table was known to be up to date; nothing where it never was.
+  common::Duration took{0};       ///< since it was read completely
+  common::Duration read_time{0};  ///< from its first byte until it was read completely
+  /// Since the table was last confirmed to be up to date; nullopt if it never was.
   std::optional<common::Duration> table_age;
 };
 
 class RequestLog {
  public:
-  /// Tells a late sender or way (`delay` is long, `longest_turn` short) from a late router.
+  /// A long `delay` with a short `longest_turn` indicates a slow sender or network, a long
+  /// `longest_turn` a slow router.
   void table_late(const LateUpdate& late);
-  /// The router goes on with its last table whatever its age, or does not any more.
+  /// On lost contact, the router keeps using its last table regardless of its age.
   void contact_changed(const ContactChange& change);
-  /// An attempt that is not the first of its request goes out.
-  void repeated(common::TimePoint now, const ParsedRequest& parsed, const Forward& forward);
+  /// An attempt other than the first of its request is sent.
+  void request_repeated(common::TimePoint now, const ParsedRequest& parsed, const Forward& forward);
   void attempt_failed(common::TimePoint now, const ParsedRequest& parsed,
                       const SentAttempt& attempt, const AttemptResult& result,
                       const transport::HttpResponse& response);
-  /// The last byte of an attempt was handed to the system long after what its back end was chosen
-  /// by was known to be so.
+  /// The operating system accepted the last byte of an attempt long after the time as of which the
+  /// table that chose the back end was confirmed.
   void written_late(common::TimePoint now, const SentAttempt& attempt);
   std::uint64_t late_writes() const { return late_writes_; }
-  /// An attempt that is not written whole is taken back, held, resumed or cut off.
+  /// An attempt that is not completely written is recalled, held, resumed or aborted.
   void write_decided(common::TimePoint now, WriteVerdict verdict, const SentAttempt& attempt);
-  /// The table says that a back end is leaving or gone, and requests are still being written to it.
+  /// The table marks a back end as leaving or removes it while requests are being written to it.
   void leaving_while_written(common::TimePoint now, const Departure& departure,
                              const UnwrittenAttempts& unwritten);
-  /// A back end tells its load in a form that could not be read whole.
+  /// A back end reports its load in a form that could not be parsed completely.
   void load_unread(common::TimePoint now, const SentAttempt& attempt, const std::string& text);
-  std::uint64_t unread_loads() const { return unread_loads_; }
-  /// A back end says something that nothing here reads: one line for each new name, a few again.
+  std::uint64_t unparsed_loads() const { return unparsed_loads_; }
+  /// An answer of a back end has a header that the router does not recognize. Each new name is
+  /// logged once, repetitions at a limited rate.
   void header_unread(common::TimePoint now, const SentAttempt& attempt,
                      const UnrecognizedHeader& header);
-  std::uint64_t unread_headers() const { return unread_headers_; }
-  /// A back end names another limit than before, or none any more.
+  std::uint64_t unrecognized_headers() const { return unrecognized_headers_; }
+  /// A back end states another request limit than before, or no limit any more.
   void limit_changed(common::TimePoint now, const LimitChange& change);
-  /// A back end has said in an answer that it is leaving, before the table did.
+  /// A back end stated in an answer that it is leaving before the table marked it as leaving.
   void departure_stated(common::TimePoint now, const StatedDeparture& departure);
-  /// A back end that took requests wants none for a while.
+  /// A back end requested a time without requests.
   void backoff_requested(common::TimePoint now, const BackoffRequest& request);
-  /// The request ends without a back end's answer.
-  void refused(common::TimePoint now, const ParsedRequest& parsed, const Answer& answer,
-               const RefusalTimes& times);
+  /// A request ends without a back end's answer.
+  void request_refused(common::TimePoint now, const ParsedRequest& parsed, const Answer& answer,
+                       const RefusalTimes& times);
 
  private:
   transport::LineLimit limit_;
-  /// Updates come several times a second, and late ones come in rows.
+  /// Updates arrive several times a second, and late ones arrive in bursts.
   transport::LineLimit late_limit_{{.lines_per_second = 1, .burst = 5}};
-  /// Every answer of a back end may carry such a report: a line now and then is enough to see it.
+  /// Each answer of a back end may have an unreadable report or header; a few lines are enough to
+  /// notice it.
   transport::LineLimit load_limit_{{.lines_per_second = 0.1, .burst = 5}};
-  /// A full link makes them by the dozen.
+  /// A congested link causes dozens of late writes at once.
   transport::LineLimit write_limit_{{.lines_per_second = 2, .burst = 10}};
   std::uint64_t late_writes_ = 0;
-  std::uint64_t unread_loads_ = 0;
-  std::set<std::string> unread_names_;  ///< of headers; bounded, as back ends choose them
-  std::uint64_t unread_headers_ = 0;
+  std::uint64_t unparsed_loads_ = 0;
+  /// Names of unrecognized headers. Their number is limited, as back ends choose them.
+  std::set<std::string> unrecognized_names_;
+  std::uint64_t unrecognized_headers_ = 0;
 };
 
 }  // namespace planktray::router
--- a/src/router/router_metrics.cpp
+++ b/src/router/router_metrics.cpp
@@ -1,4 +1,4 @@
-/// The metrics page of a router's process.
+/// Metrics of RouterProcess.
 
 #include <chrono>
 #include <string>
@@ -60,10 +60,10 @@
                        refused_while_draining_);
   metrics_.set_counter("planktray_load_reports_unread_total",
                        "Load reports of back ends that could not be read whole.",
-                       request_log_.unread_loads());
+                       request_log_.unparsed_loads());
   metrics_.set_counter("planktray_headers_unread_total",
                        "Headers of back ends' answers that nothing here reads.",
-                       request_log_.unread_headers());
+                       request_log_.unrecognized_headers());
   metrics_.set_counter("planktray_stated_departures_total",
                        "Back ends that said in an answer that they leave before the table did.",
                        counters.stated_departures);
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -13,26 +13,27 @@
 using transport::boot_time_now;
 using transport::log_event;
 
-/// A router that stops looks this often whether it has finished.
+/// Interval at which a draining router checks whether it has finished.
 constexpr common::Duration kDrainPoll = std::chrono::milliseconds(20);
-/// After it has stopped accepting, a router leaves new connections open for this long: their first
-/// requests are on the way. Some ten times the way of a caller, who is a few milliseconds off.
-constexpr common::Duration kLastRequests = std::chrono::milliseconds(150);
+/// After it has stopped accepting, a router keeps new connections open for this long, since their
+/// first requests may still be in transit. About ten times the network latency of a caller, which
+/// is a few milliseconds.
+constexpr common::Duration kFirstRequestWait = std::chrono::milliseconds(150);
 
-/// An update that took longer from its sender to its use is worth a line: some ten times a round
-/// trip between controllers and routers, and a fifth of the shortest promised time.
+/// Updates that took at least this long from their sender until they were applied are logged: about
+/// ten round trips between controllers and routers, and a fifth of the shortest promised time.
 constexpr common::Duration kLateUpdate = std::chrono::milliseconds(400);
 
-/// A request whose last byte leaves this long after its back end was known to take it is worth a
-/// line: half of the time after which a back end that leaves gets nothing more.
+/// Requests whose last byte was written this long after the table confirmed their back end are
+/// logged: half of the time after which a leaving back end must not receive anything.
 constexpr common::Duration kLateWrite = std::chrono::milliseconds(1000);
 
-/// Whether a back end still listens is looked at this long after its connection ended: a process
-/// that ends closes its connections first. Chosen: some fifty times what a process took here to
+/// Delay from the end of a back end's connection until a probe whether it still listens, as an
+/// ending process closes its connections first. About fifty times the time that a process takes to
 /// end.
-constexpr common::Duration kReachDelay = std::chrono::milliseconds(50);
-/// A machine that lives refuses at once; ten times the way there and back.
-constexpr common::Duration kReachTimeout = std::chrono::milliseconds(300);
+constexpr common::Duration kReachabilityDelay = std::chrono::milliseconds(50);
+/// Timeout of a probe. A running machine refuses a connection immediately; this is ten round trips.
+constexpr common::Duration kReachabilityTimeout = std::chrono::milliseconds(300);
 
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusUnavailable = 503;
@@ -70,7 +71,7 @@
       core_(settings_.options, seeded_engine(), boot_time_now()),
       latency_(metrics_.latency_histogram("planktray_request_seconds",
                                           "Time from arrival to the caller's answer.")),
-      unread_(metrics_.latency_histogram(
+      read_time_(metrics_.latency_histogram(
           "planktray_unread_seconds", "Time from a request's first byte until it has been read.")),
       table_age_(metrics_.latency_histogram("planktray_choice_table_age_seconds",
                                             "Age of the table by which back ends were chosen.")),
@@ -80,7 +81,7 @@
       write_done_(metrics_.latency_histogram(
           "planktray_write_done_seconds",
           "Time from the choice of a back end until the system had taken a request's last byte.")),
-      reach_checker_(kReachDelay, kReachTimeout) {}
+      reach_checker_(kReachabilityDelay, kReachabilityTimeout) {}
 
 common::Result<void> RouterProcess::start() {
   const double link_rate = settings_.machine.link_bytes_per_second();
@@ -111,7 +112,7 @@
   }
   server_ = std::move(*server);
   server_->run_side_by_side(
-      [this](const transport::HttpMessage& request) { return runs_beside_others(request); });
+      [this](const transport::HttpMessage& request) { return may_run_concurrently(request); });
   if (settings_.status_address.empty()) {
     return {};
   }
@@ -130,7 +131,7 @@
   return {};
 }
 
-void RouterProcess::learn_controllers(const routing::ControllerList& list) {
+void RouterProcess::on_controller_list(const routing::ControllerList& list) {
   core_.on_controller_list(boot_time_now(), list);
   for (const std::string& address : core_.controllers()) {
     if (controllers_.contains(address)) {
@@ -145,7 +146,7 @@
   flush();
 }
 
-void RouterProcess::take_update(const routing::TableUpdate& update, const std::string& from) {
+void RouterProcess::on_table_update(const routing::TableUpdate& update, const std::string& from) {
   const common::TimePoint now = boot_time_now();
   const common::Duration age = core_.freshness().age(now).value_or(common::Duration(0));
   core_.on_table_update(now, update, from);
@@ -165,9 +166,9 @@
       context_, address, "router/" + settings_.options.name.value,
       [this, address](const std::string& /*identity*/, const auto& message) {
         if (const auto* update = std::get_if<routing::TableUpdate>(&message.value)) {
-          take_update(*update, address);
+          on_table_update(*update, address);
         } else if (const auto* list = std::get_if<routing::ControllerList>(&message.value)) {
-          learn_controllers(*list);
+          on_controller_list(*list);
         }
       });
   if (!socket.has_value()) {
@@ -202,7 +203,7 @@
   if (!fresh.has_value()) {
     return transport::log_error("settings_refused", fresh.error());
   }
-  // What holds for a running process; everything else takes effect at its next start.
+  // Only these settings apply to a running process. All others take effect at its next start.
   settings_.drain_timeout = fresh->drain_timeout;
   settings_.accept_while_draining = fresh->accept_while_draining;
   std::string added;
@@ -242,7 +243,7 @@
     core_.begin_drain();
     server_->stop_listening();
   }
-  if (now < drain_plan_.accept_until + kLastRequests) {
+  if (now < drain_plan_.accept_until + kFirstRequestWait) {
     return;
   }
   server_->close_idle();
@@ -299,17 +300,18 @@
     core_.on_caller_disconnected(boot_time_now(), handle);
     flush();
   });
-  unread_.Observe(std::chrono::duration<double>(caller.arrived - exchange->first_byte()).count());
+  read_time_.Observe(
+      std::chrono::duration<double>(caller.arrived - exchange->first_byte()).count());
   core_.on_request(boot_time_now(), caller.parsed.request);
   flush();
 }
 
-bool RouterProcess::runs_beside_others(const transport::HttpMessage& request) const {
+bool RouterProcess::may_run_concurrently(const transport::HttpMessage& request) const {
   const std::string_view host = transport::find_header(request.headers, "Host");
   const std::string_view path =
       std::string_view(request.target).substr(0, request.target.find('?'));
   const config::Route* route = core_.table().routes().find(host, path);
-  // A large answer that waited for its turn would be held whole.
+  // A large answer that had to wait for earlier ones would be buffered completely.
   return route != nullptr && route->kind.repeatable && !route->kind.large_answer;
 }
 
@@ -334,7 +336,7 @@
                                           const ParsedRequest& parsed) {
   if (!parsed.request.route.has_value() ||
       drain_plan_.admits(boot_time_now(), longest_time(parsed.request))) {
-    return false;  // requests that are on no route are the core's to refuse
+    return false;  // the core refuses requests without a route
   }
   ++refused_while_draining_;
   Answer answer;
@@ -353,14 +355,14 @@
   }
   flushing_ = true;
   for (RouterOutput output = core_.take_output(); !output.empty(); output = core_.take_output()) {
-    carry_out(output);
+    execute(output);
   }
   flushing_ = false;
-  note_changes();
+  check_state_changes();
   alarm_.set(core_.next_due());
 }
 
-void RouterProcess::carry_out(const RouterOutput& output) {
+void RouterProcess::execute(const RouterOutput& output) {
   if (output.hello.has_value()) {
     for (const std::string& address : output.hello_to_all ? core_.controllers() : output.hello_to) {
       const auto controller = controllers_.find(address);
@@ -379,19 +381,19 @@
     request_log_.backoff_requested(boot_time_now(), request);
   }
   for (const Departure& departure : output.departures) {
-    note_departure(departure);
+    log_departure(departure);
   }
-  for (const ReachabilityProbe& inquiry : output.reachability_probes) {
-    check_reach(inquiry);
+  for (const ReachabilityProbe& probe : output.reachability_probes) {
+    probe_reachability(probe);
   }
   for (const WriteDecision& decision : output.write_decisions) {
-    carry_out(decision);
+    execute(decision);
   }
   for (const AttemptId attempt : output.cancels) {
-    const auto found = sent_.find(attempt);
-    if (found != sent_.end()) {
+    const auto found = attempts_.find(attempt);
+    if (found != attempts_.end()) {
       client_->cancel(found->second.call);
-      sent_.erase(found);
+      attempts_.erase(found);
     }
   }
   for (const Answer& answer : output.answers) {
@@ -402,9 +404,9 @@
   }
 }
 
-void RouterProcess::carry_out(const WriteDecision& decision) {
-  const auto found = sent_.find(decision.attempt);
-  if (found == sent_.end()) {
+void RouterProcess::execute(const WriteDecision& decision) {
+  const auto found = attempts_.find(decision.attempt);
+  if (found == attempts_.end()) {
     return;
   }
   const bool is_held = decision.verdict == WriteVerdict::kHold;
@@ -414,8 +416,8 @@
   request_log_.write_decided(boot_time_now(), decision.verdict, found->second.attempt);
 }
 
-void RouterProcess::check_reach(const ReachabilityProbe& inquiry) {
-  reach_checker_.check(inquiry.address, [this, backend = inquiry.backend](transport::Reach reach) {
+void RouterProcess::probe_reachability(const ReachabilityProbe& probe) {
+  reach_checker_.check(probe.address, [this, backend = probe.backend](transport::Reach reach) {
     std::optional<bool> listens;
     if (reach != transport::Reach::kUnknown) {
       listens = reach == transport::Reach::kListens;
@@ -425,22 +427,22 @@
   });
 }
 
-void RouterProcess::note_changes() {
+void RouterProcess::check_state_changes() {
   const bool serving = core_.is_serving(boot_time_now());
   if (serving != was_serving_) {
     was_serving_ = serving;
     log_event(serving ? "serving" : "not_serving",
               {{"table_index", std::to_string(core_.table().index().value)}});
   }
-  note_contact();
+  log_contact_change();
   const config::RequestLimits& limits = core_.table().routes().limits();
   if (limits != limits_) {
     limits_ = limits;
-    adopt_limits();
+    apply_limits();
   }
 }
 
-void RouterProcess::note_contact() {
+void RouterProcess::log_contact_change() {
   const common::TimePoint now = boot_time_now();
   const routing::TableFreshness& freshness = core_.freshness();
   const bool in_contact = freshness.status(now) != routing::TableStatus::kOutOfContact;
@@ -456,7 +458,7 @@
   request_log_.contact_changed(change);
 }
 
-void RouterProcess::adopt_limits() {
+void RouterProcess::apply_limits() {
   transport::HttpServerOptions options = server_->options();
   if (limits_.header_bytes > 0) {
     options.limits.header_bytes = limits_.header_bytes;
@@ -487,34 +489,34 @@
   const AttemptId attempt = forward.attempt;
   const common::TimePoint now = boot_time_now();
   if (forward.number > 1) {
-    request_log_.repeated(now, caller.parsed, forward);
-  }
-  SentAttempt& chosen = sent_[attempt].attempt;
-  chosen.address = forward.address;
-  chosen.incarnation = forward.incarnation;
-  chosen.service = forward.service;
-  chosen.request_id = caller.parsed.request_id;
-  chosen.number = forward.number;
-  chosen.sent = now;
-  chosen.bytes = request.body.size();
-  chosen.table_age = core_.freshness().age(now);
-  if (chosen.table_age.has_value()) {
-    table_age_.Observe(std::chrono::duration<double>(*chosen.table_age).count());
-  }
-  sent_[attempt].call = client_->send(
+    request_log_.request_repeated(now, caller.parsed, forward);
+  }
+  SentAttempt& sent = attempts_[attempt].attempt;
+  sent.address = forward.address;
+  sent.incarnation = forward.incarnation;
+  sent.service = forward.service;
+  sent.request_id = caller.parsed.request_id;
+  sent.number = forward.number;
+  sent.sent_at = now;
+  sent.bytes = request.body.size();
+  sent.table_age = core_.freshness().age(now);
+  if (sent.table_age.has_value()) {
+    table_age_.Observe(std::chrono::duration<double>(*sent.table_age).count());
+  }
+  attempts_[attempt].call = client_->send(
       std::move(request),
       [this, attempt](transport::HttpResponse& response) { on_response(attempt, response); },
       [this, attempt](transport::SendStage stage) { on_progress(attempt, stage); });
 }
 
 void RouterProcess::on_progress(AttemptId attempt, transport::SendStage stage) {
-  const auto found = sent_.find(attempt);
-  if (found == sent_.end()) {
+  const auto found = attempts_.find(attempt);
+  if (found == attempts_.end()) {
     return;
   }
   const common::TimePoint now = boot_time_now();
   SentAttempt& sent = found->second.attempt;
-  const common::Duration took = now - sent.sent;
+  const common::Duration took = now - sent.sent_at;
   if (stage == transport::SendStage::kConnected) {
     sent.connected = took;
     return;
@@ -536,15 +538,16 @@
   }
 }
 
-void RouterProcess::note_departure(const Departure& departure) {
+void RouterProcess::log_departure(const Departure& departure) {
   UnwrittenAttempts unwritten;
-  for (const auto& [id, sent] : sent_) {
+  for (const auto& [id, pending] : attempts_) {
+    const SentAttempt& sent = pending.attempt;
     const bool is_unwritten =
-        sent.attempt.incarnation == departure.incarnation && !sent.attempt.written.has_value();
+        sent.incarnation == departure.incarnation && !sent.written.has_value();
     if (is_unwritten) {
       ++unwritten.attempts;
-      unwritten.begun += sent.attempt.begun.has_value() ? 1 : 0;
-      unwritten.bytes += sent.attempt.bytes;
+      unwritten.begun += sent.begun.has_value() ? 1 : 0;
+      unwritten.bytes += sent.bytes;
     }
   }
   if (unwritten.attempts > 0) {
@@ -553,14 +556,14 @@
 }
 
 void RouterProcess::on_response(AttemptId attempt, transport::HttpResponse& response) {
-  const auto found = sent_.find(attempt);
+  const auto found = attempts_.find(attempt);
   const auto handle = core_.handle_of(attempt);
-  if (found == sent_.end() || !handle.has_value()) {
+  if (found == attempts_.end() || !handle.has_value()) {
     return;
   }
   const auto caller = callers_.find(*handle);
   if (caller == callers_.end()) {
-    sent_.erase(found);
+    attempts_.erase(found);
     return;
   }
   AttemptResult result =
@@ -580,7 +583,7 @@
   } else {
     request_log_.attempt_failed(now, caller->second.parsed, found->second.attempt, result,
                                 response);
-    sent_.erase(found);
+    attempts_.erase(found);
   }
   core_.on_attempt_done(now, attempt, result);
   flush();
@@ -597,13 +600,14 @@
   const common::Duration took = now - caller.arrived;
   latency_.Observe(std::chrono::duration<double>(took).count());
   if (answer.outcome == routing::Outcome::kAnswered) {
-    const auto sent = sent_.find(answer.attempt);
+    const auto sent = attempts_.find(answer.attempt);
     dialect_->forward_response(*caller.exchange, caller.parsed, sent->second.response);
-    sent_.erase(sent);
+    attempts_.erase(sent);
     return;
   }
-  const common::Duration unread = caller.arrived - caller.exchange->first_byte();
-  request_log_.refused(now, caller.parsed, answer, {took, unread, core_.freshness().age(now)});
+  const common::Duration read_time = caller.arrived - caller.exchange->first_byte();
+  request_log_.request_refused(now, caller.parsed, answer,
+                               {took, read_time, core_.freshness().age(now)});
   dialect_->answer(*caller.exchange, caller.parsed, answer);
 }
 
--- a/src/router/router_process.hpp
+++ b/src/router/router_process.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// The shell around RouterCore: HTTP towards callers and back ends, ZeroMQ towards controllers.
+/// Runs a RouterCore: connects it to callers and back ends over HTTP and to controllers over
+/// ZeroMQ.
 
 #include <functional>
 #include <map>
@@ -31,26 +32,28 @@
   config::MachineLimits machine;
   std::size_t maximum_body = 8 * 1024 * 1024;
   int connections_per_backend = 130;
-  /// A connection to a back end that is not up by then has failed; nothing was sent.
+  /// A connection attempt to a back end fails after this time; nothing was sent then.
   common::Duration connect_timeout = std::chrono::milliseconds(5000);
-  /// What may not be repeated is written on a connection that has been up for this long.
+  /// Non-repeatable requests are only written on a connection that has been up for this long.
   common::Duration settle_time{0};
-  /// A connection that has gone silent ends after this time, and its request with it; 0: never.
+  /// A connection with unacknowledged bytes is closed after this time, and its request ends with
+  /// it; 0: never.
   common::Duration unacknowledged_timeout{0};
   common::Duration drain_timeout = std::chrono::milliseconds(30'000);
-  /// At a stop, new connections are still taken for this long: callers notice late.
+  /// How long new connections are still accepted while draining, as callers notice a stop late.
   common::Duration accept_while_draining{0};
-  /// "IP:port" of readiness and metrics; empty: they stand beside the callers' paths.
+  /// "IP:port" of readiness and metrics; empty: they are served at the callers' address.
   std::string status_address;
   std::string ready_path = "/readyz";
-  /// Ready with a route configuration, rather than with a confirmed table.
+  /// The router is ready once it has a route configuration, rather than a confirmed table.
   bool readiness_requires_routes = false;
-  std::string settings_path;  ///< file whose change is a reason to read the settings anew
-  /// Reads the settings anew; none: they never change.
+  std::string settings_path;  ///< file whose changes trigger a reload
+  /// Reads the settings again; empty: the settings are never reloaded.
   std::function<common::Result<RouterSettings>()> reload;
 };
 
-/// What these settings allow a request to take from the choice of its back end to its arrival.
+/// Returns the upper bound for these settings of the time from the choice of a request's back end
+/// until the request arrives there.
 ArrivalTime arrival_time(const RouterSettings& settings);
 
 class RouterProcess {
@@ -61,14 +64,14 @@
   int run();
 
  private:
-  /// A caller that waits.
+  /// A caller that waits for an answer.
   struct Caller {
     transport::ExchangePointer exchange;
     ParsedRequest parsed;
     common::TimePoint arrived;
   };
-  /// An attempt that is under way, or whose answer waits to be passed on.
-  struct Sent {
+  /// An attempt that is in flight, or whose response has not been sent to the caller yet.
+  struct PendingAttempt {
     std::uint64_t call = 0;
     SentAttempt attempt;
     transport::HttpResponse response;
@@ -76,33 +79,36 @@
 
   common::Result<void> listen();
   common::Result<void> connect_controller(const std::string& address);
-  /// Connects to controllers that the settings do not name.
-  void learn_controllers(const routing::ControllerList& list);
-  void take_update(const routing::TableUpdate& update, const std::string& from);
+  /// Connects to controllers that are not in the settings.
+  void on_controller_list(const routing::ControllerList& list);
+  void on_table_update(const routing::TableUpdate& update, const std::string& from);
   void tick();
   void on_http(const transport::ExchangePointer& exchange);
-  /// True where the request's route says that it may be repeated and its answer is small.
-  bool runs_beside_others(const transport::HttpMessage& request) const;
-  /// The longest that the request may be under way, by its deadline and its route;
-  /// nothing where neither bounds it.
+  /// Whether the request may run concurrently with others of its connection: its route is
+  /// repeatable and has small answers.
+  bool may_run_concurrently(const transport::HttpMessage& request) const;
+  /// Returns the maximum time that the request may be in flight by its deadline and its route;
+  /// nullopt if neither limits it.
   std::optional<common::Duration> longest_time(const CallerRequest& request) const;
-  /// Answers "not run" where this router may stop before the request ends. @return false where it
-  /// has to be taken.
+  /// Answers "not run" if this router may stop before the request ends. @return false if the
+  /// request has to be processed.
   bool refuse_while_draining(const transport::ExchangePointer& exchange,
                              const ParsedRequest& parsed);
   bool answer_status(const transport::ExchangePointer& exchange);
   bool is_ready() const;
   void flush();
-  void carry_out(const RouterOutput& output);
-  void carry_out(const WriteDecision& decision);
-  void check_reach(const ReachabilityProbe& inquiry);
-  void note_changes();
-  void note_contact();
-  void adopt_limits();
+  void execute(const RouterOutput& output);
+  void execute(const WriteDecision& decision);
+  void probe_reachability(const ReachabilityProbe& probe);
+  /// Logs changes of serving and contact state, and applies changed request limits.
+  void check_state_changes();
+  void log_contact_change();
+  void apply_limits();
   void send_forward(const Forward& forward);
   void on_response(AttemptId attempt, transport::HttpResponse& response);
   void on_progress(AttemptId attempt, transport::SendStage stage);
-  void note_departure(const Departure& departure);
+  /// Logs attempts that are not completely written to a back end that is leaving or removed.
+  void log_departure(const Departure& departure);
   void send_answer(const Answer& answer);
   void reload();
   void begin_drain();
@@ -120,18 +126,18 @@
   RouterCore core_;
   transport::Metrics metrics_;
   prometheus::Histogram& latency_;
-  prometheus::Histogram& unread_;
+  prometheus::Histogram& read_time_;
   prometheus::Histogram& table_age_;
   prometheus::Histogram& write_begun_;
   prometheus::Histogram& write_done_;
-  std::unique_ptr<transport::LinkPacer> pacer_;  ///< none where the link's speed is not stated
+  std::unique_ptr<transport::LinkPacer> pacer_;  ///< nullptr if the link rate is not stated
   std::unique_ptr<transport::HttpServer> server_;
   std::unique_ptr<transport::HttpServer> status_server_;
   std::unique_ptr<transport::HttpClient> client_;
   transport::ReachChecker reach_checker_;
   std::map<std::string, std::unique_ptr<transport::ZmqSocket>> controllers_;  ///< by endpoint
   std::unordered_map<RequestHandle, Caller> callers_;
-  std::unordered_map<AttemptId, Sent> sent_;
+  std::unordered_map<AttemptId, PendingAttempt> attempts_;
   RequestLog request_log_;
   RequestHandle next_handle_ = 1;
   config::RequestLimits limits_;
