--- a/bench/leader_load.cpp
+++ b/bench/leader_load.cpp
@@ -115,7 +115,7 @@
     constexpr std::uint32_t kStride = 7;
     const std::uint32_t which = next_replaced_ = (next_replaced_ + kStride) % all;
     const common::Incarnation leaving = incarnation(which);
-    timed([&] { core_.depart(now_, core_.new_request(), leaving); });
+    timed([&] { core_.deregister(now_, core_.new_request(), leaving); });
     carry_out();
     ++lives_[which];
   }
--- a/src/controller/controller_process.cpp
+++ b/src/controller/controller_process.cpp
@@ -189,8 +189,8 @@
       }
     }
   }
-  if (output.heard.has_value()) {
-    send_to_leader(transport::WireMessage(*output.heard));
+  if (output.heartbeat_report.has_value()) {
+    send_to_leader(transport::WireMessage(*output.heartbeat_report));
   }
   for (const ownership::OutgoingLease& lease : output.leases) {
     send_lease(lease);
@@ -256,7 +256,7 @@
                                 {"cause", std::string(to_string(moving.cause))}});
     }
   }
-  for (const KeysGiven& given : output.keys_given) {
+  for (const KeysAssigned& given : output.keys_assigned) {
     if (key_move_limit_.allows(now)) {
       const auto gap = given.without_owner;
       log_event(
@@ -480,7 +480,7 @@
     return std::to_string(to - from);
   };
   log_promise_changes(core_->distributor().routers(now).size());
-  const auto laggard = core_->distributor().laggard(now);
+  const auto slowest = core_->distributor().slowest_router(now);
   log_event("leader_load",
             {{"processor_ms", ms(totals.processor - before.processor)},
              {"loop_ms", times_text},
@@ -502,8 +502,8 @@
              {"grants_open", std::to_string(orders_ == nullptr ? 0 : orders_->grants_open())},
              {"releases_open", std::to_string(orders_ == nullptr ? 0 : orders_->releases_open())},
              {"ranges", std::to_string(core_->ranges().grants().holdings())},
-             {"behind_ms", ms(laggard.has_value() ? laggard->age : common::Duration(0))},
-             {"behind_router", laggard.has_value() ? laggard->router.value : ""}});
+             {"behind_ms", ms(slowest.has_value() ? slowest->age : common::Duration(0))},
+             {"behind_router", slowest.has_value() ? slowest->router.value : ""}});
 }
 
 void ControllerProcess::log_promise_changes(std::size_t routers) {
--- a/src/controller/core/controller_core.cpp
+++ b/src/controller/core/controller_core.cpp
@@ -71,10 +71,10 @@
   if (auto limits = ranges_.note_limits(now, state_, hello)) {
     distributor_.set_limits(std::move(*limits));
   }
-  for (const routing::CrashSuspect& blocked : suspects_.take(now, hello)) {
+  for (const routing::CrashSuspect& blocked : suspects_.on_hello(now, hello)) {
     output_.blocked_requests.push_back(blocked);
   }
-  distributor_.set_suspects(suspects_.told(now));
+  distributor_.set_suspects(suspects_.suspects(now));
   for (const common::BackendId id : hello.ended) {
     mark_ended(now, id);
   }
@@ -175,11 +175,11 @@
 }
 
 bool ControllerOutput::empty() const {
-  return peer_messages.empty() && !join.has_value() && !heard.has_value() && persist.empty() &&
-         leases.empty() && releases.empty() && grants.empty() && key_releases.empty() &&
-         tables.empty() && controllers.empty() && !announcement.has_value() &&
-         completions.empty() && changed_backends.empty() && blocked_requests.empty() &&
-         keys_moving.empty() && keys_given.empty();
+  return peer_messages.empty() && !join.has_value() && !heartbeat_report.has_value() &&
+         persist.empty() && leases.empty() && releases.empty() && grants.empty() &&
+         key_releases.empty() && tables.empty() && controllers.empty() &&
+         !announcement.has_value() && completions.empty() && changed_backends.empty() &&
+         blocked_requests.empty() && keys_moving.empty() && keys_assigned.empty();
 }
 
 // ---------------------------------------------------------------- the log
@@ -353,7 +353,7 @@
   key_moves_.on_applied(now, state_, index, *plan, ranges_.spared_check(now, state_));
   const auto append = [](auto& to, auto from) { to.insert(to.end(), from.begin(), from.end()); };
   append(output_.keys_moving, key_moves_.take_moving());
-  append(output_.keys_given, key_moves_.take_given());
+  append(output_.keys_assigned, key_moves_.take_assigned());
 }
 
 void ControllerCore::complete(TimePoint now, const consensus::Entry& entry,
--- a/src/controller/core/controller_core.hpp
+++ b/src/controller/core/controller_core.hpp
@@ -109,8 +109,8 @@
 
 struct ControllerOutput {
   std::vector<consensus::RaftMessage> peer_messages;
-  std::optional<consensus::JoinRequest> join;        ///< to every configured peer
-  std::optional<membership::HeartbeatReport> heard;  ///< to the leader
+  std::optional<consensus::JoinRequest> join;                   ///< to every configured peer
+  std::optional<membership::HeartbeatReport> heartbeat_report;  ///< to the leader
   std::vector<consensus::PersistRequest> persist;
   std::vector<ownership::OutgoingLease> leases;
   std::vector<ownership::OutgoingRelease> releases;
@@ -126,7 +126,7 @@
   std::vector<routing::CrashSuspect> blocked_requests;
   /// Keys that move and that have an owner again, for the log of a leader.
   std::vector<KeysMoving> keys_moving;
-  std::vector<KeysGiven> keys_given;
+  std::vector<KeysAssigned> keys_assigned;
 
   /// True where there is nothing to carry out.
   bool empty() const;
@@ -145,7 +145,7 @@
   std::uint64_t hellos = 0;              ///< of routers, while leading
   std::uint64_t tables_as_follower = 0;  ///< brought to routers that asked a follower
   std::uint64_t heartbeats = 0;          ///< of back ends, that came here
-  std::uint64_t news_relayed = 0;        ///< of those and of goodbyes: passed on to the leader
+  std::uint64_t updates_relayed = 0;     ///< of those and of goodbyes: passed on to the leader
   std::uint64_t range_plans = 0;         ///< proposed
 };
 
@@ -172,7 +172,7 @@
   void heartbeat(TimePoint now, OperatorRequestId request, const Heartbeat& heartbeat);
   void on_heartbeat_report(TimePoint now, const membership::HeartbeatReport& report);
   /// A back end says goodbye; as above.
-  void depart(TimePoint now, OperatorRequestId request, const common::Incarnation& incarnation);
+  void deregister(TimePoint now, OperatorRequestId request, const common::Incarnation& incarnation);
 
   /// Makes the cell with these members. Only for a folder that belongs to no cell yet; a repeat
   /// with the same members does nothing.
--- a/src/controller/core/controller_core_backends.cpp
+++ b/src/controller/core/controller_core_backends.cpp
@@ -136,7 +136,7 @@
   // close a connection for each: 1,000 a second beside a release, a third of a full leader's time.
   relayed_[request] = {news.incarnation, news.draining, news.departed, now + kNewsTimeout};
   news_.push_back(std::move(news));
-  ++counters_.news_relayed;
+  ++counters_.updates_relayed;
   next_report_ = std::min(next_report_, now + kNewsDelay);
   step(now);
 }
@@ -169,8 +169,8 @@
     return;
   }
   next_report_ = now + kReportInterval;
-  output_.heard = membership::HeartbeatReport{options_.cell, std::exchange(heard_, {}),
-                                              std::exchange(news_, {})};
+  output_.heartbeat_report = membership::HeartbeatReport{options_.cell, std::exchange(heard_, {}),
+                                                         std::exchange(news_, {})};
 }
 
 void ControllerCore::take_news(TimePoint now, const membership::BackendNews& news) {
@@ -233,8 +233,8 @@
   step(now);
 }
 
-void ControllerCore::depart(TimePoint now, OperatorRequestId request,
-                            const common::Incarnation& incarnation) {
+void ControllerCore::deregister(TimePoint now, OperatorRequestId request,
+                                const common::Incarnation& incarnation) {
   if (!is_serving(now)) {
     membership::BackendNews news;
     news.incarnation = incarnation;
--- a/src/controller/core/fleet_suspects.cpp
+++ b/src/controller/core/fleet_suspects.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-std::vector<routing::CrashSuspect> FleetSuspects::take(common::TimePoint now,
-                                                       const routing::RouterHello& hello) {
+std::vector<routing::CrashSuspect> FleetSuspects::on_hello(common::TimePoint now,
+                                                           const routing::RouterHello& hello) {
   ledger_.expire(now);
   std::vector<routing::CrashSuspect> blocked;
   for (const routing::CrashReport& report : hello.crashes) {
@@ -55,7 +55,7 @@
   return blocked;
 }
 
-std::vector<routing::SuspectRequest> FleetSuspects::told(common::TimePoint now) const {
+std::vector<routing::SuspectRequest> FleetSuspects::suspects(common::TimePoint now) const {
   std::vector<routing::CrashSuspect> suspects = ledger_.suspects();
   if (suspects.size() > routing::kMaxSuspects) {
     std::partial_sort(suspects.begin(), suspects.begin() + routing::kMaxSuspects, suspects.end(),
--- a/src/controller/core/fleet_suspects.hpp
+++ b/src/controller/core/fleet_suspects.hpp
@@ -16,9 +16,10 @@
 
   void begin_term() { ledger_.clear(); }
   /// Takes one router's report. @return requests that are refused from now on, for the log.
-  std::vector<routing::CrashSuspect> take(common::TimePoint now, const routing::RouterHello& hello);
+  std::vector<routing::CrashSuspect> on_hello(common::TimePoint now,
+                                              const routing::RouterHello& hello);
   /// What routers are told, the longest blocked first where there are too many.
-  std::vector<routing::SuspectRequest> told(common::TimePoint now) const;
+  std::vector<routing::SuspectRequest> suspects(common::TimePoint now) const;
 
  private:
   routing::CrashLedger ledger_;
--- a/src/controller/core/holder_answers.cpp
+++ b/src/controller/core/holder_answers.cpp
@@ -6,27 +6,28 @@
 
 namespace planktray::controller {
 
-std::optional<OperatorRequestId> HolderAnswers::keep(common::BackendId backend,
-                                                     OperatorRequestId request, TimePoint received,
-                                                     TimePoint answer_by) {
-  const auto [kept, is_first] = kept_.try_emplace(backend, Kept{request, received, answer_by});
+std::optional<OperatorRequestId> HolderAnswers::defer(common::BackendId backend,
+                                                      OperatorRequestId request, TimePoint received,
+                                                      TimePoint answer_by) {
+  const auto [kept, is_first] =
+      deferred_.try_emplace(backend, Deferred{request, received, answer_by});
   if (is_first) {
     return std::nullopt;
   }
   if (received < kept->second.received) {
     return request;
   }
-  return std::exchange(kept->second, Kept{request, received, answer_by}).request;
+  return std::exchange(kept->second, Deferred{request, received, answer_by}).request;
 }
 
 std::vector<HolderAnswer> HolderAnswers::collect(TimePoint now, const ownership::CellState& state,
                                                  ownership::GrantManager& grants) {
   std::vector<HolderAnswer> answers;
-  if (kept_.empty()) {
+  if (deferred_.empty()) {
     return answers;
   }
   const std::set<common::BackendId> with_news = grants.holders_to_notify(now);
-  for (auto kept = kept_.begin(); kept != kept_.end();) {
+  for (auto kept = deferred_.begin(); kept != deferred_.end();) {
     const auto& [backend, heartbeat] = *kept;
     if (now < heartbeat.answer_by && !with_news.contains(backend)) {
       ++kept;
@@ -34,14 +35,14 @@
     }
     answers.push_back(
         {heartbeat.request, grants.answer_heartbeat(now, heartbeat.received, state, backend)});
-    kept = kept_.erase(kept);
+    kept = deferred_.erase(kept);
   }
   return answers;
 }
 
-std::vector<OperatorRequestId> HolderAnswers::abandon() {
+std::vector<OperatorRequestId> HolderAnswers::cancel_all() {
   std::vector<OperatorRequestId> requests;
-  for (const auto& [backend, kept] : std::exchange(kept_, {})) {
+  for (const auto& [backend, kept] : std::exchange(deferred_, {})) {
     requests.push_back(kept.request);
   }
   return requests;
@@ -49,7 +50,7 @@
 
 TimePoint HolderAnswers::next_due() const {
   TimePoint due = TimePoint::max();
-  for (const auto& [backend, kept] : kept_) {
+  for (const auto& [backend, kept] : deferred_) {
     due = std::min(due, kept.answer_by);
   }
   return due;
--- a/src/controller/core/holder_answers.hpp
+++ b/src/controller/core/holder_answers.hpp
@@ -30,26 +30,26 @@
  public:
   /// Keeps a heartbeat that arrived at `received`, until `answer_by` at the latest.
   /// @return the older request, where another heartbeat is kept: its sender has given that one up.
-  std::optional<OperatorRequestId> keep(common::BackendId backend, OperatorRequestId request,
-                                        TimePoint received, TimePoint answer_by);
+  std::optional<OperatorRequestId> defer(common::BackendId backend, OperatorRequestId request,
+                                         TimePoint received, TimePoint answer_by);
   /// The answers that are due. Call only while the leader lease holds.
   std::vector<HolderAnswer> collect(TimePoint now, const ownership::CellState& state,
                                     ownership::GrantManager& grants);
   /// Gives up all that is kept: this replica leads no more.
-  std::vector<OperatorRequestId> abandon();
+  std::vector<OperatorRequestId> cancel_all();
   /// True where the back end waits for an answer, so that it can be told something at once.
-  bool is_kept(common::BackendId backend) const { return kept_.contains(backend); }
+  bool is_deferred(common::BackendId backend) const { return deferred_.contains(backend); }
   /// When the first kept heartbeat has to be answered.
   TimePoint next_due() const;
 
  private:
-  struct Kept {
+  struct Deferred {
     OperatorRequestId request = 0;
     TimePoint received;
     TimePoint answer_by;
   };
 
-  std::map<common::BackendId, Kept> kept_;
+  std::map<common::BackendId, Deferred> deferred_;
 };
 
 }  // namespace planktray::controller
--- a/src/controller/core/key_move_log.cpp
+++ b/src/controller/core/key_move_log.cpp
@@ -88,9 +88,9 @@
     return;  // it was ignored
   }
   const std::optional<TimePoint> since = take_since(assignment);
-  given_.push_back({service->second.config.name, assignment.keys,
-                    incarnation_of(state, assignment.owner),
-                    since.has_value() ? std::optional(now - *since) : std::nullopt});
+  assigned_.push_back({service->second.config.name, assignment.keys,
+                       incarnation_of(state, assignment.owner),
+                       since.has_value() ? std::optional(now - *since) : std::nullopt});
 }
 
 std::optional<TimePoint> KeyMoveLog::take_since(const ownership::RangeAssignment& assignment) {
--- a/src/controller/core/key_move_log.hpp
+++ b/src/controller/core/key_move_log.hpp
@@ -36,7 +36,7 @@
 };
 
 /// Keys that have an owner again.
-struct KeysGiven {
+struct KeysAssigned {
   common::ServiceName service;
   ownership::KeyRange keys;
   common::Incarnation to;
@@ -54,7 +54,7 @@
   void on_applied(common::TimePoint now, const ownership::CellState& state, common::LogIndex index,
                   const ownership::ApplyRangePlan& plan, const IsSpared& is_spared);
   std::vector<KeysMoving> take_moving() { return std::exchange(moves_, {}); }
-  std::vector<KeysGiven> take_given() { return std::exchange(given_, {}); }
+  std::vector<KeysAssigned> take_assigned() { return std::exchange(assigned_, {}); }
 
  private:
   struct Moving {
@@ -72,7 +72,7 @@
   /// By service and first key.
   std::map<std::pair<common::ServiceId, std::uint32_t>, Moving> moving_;
   std::vector<KeysMoving> moves_;
-  std::vector<KeysGiven> given_;
+  std::vector<KeysAssigned> assigned_;
 };
 
 }  // namespace planktray::controller
--- a/src/controller/core/owner_admission.cpp
+++ b/src/controller/core/owner_admission.cpp
@@ -7,10 +7,11 @@
 
 void OwnerAdmission::begin_term(common::TimePoint now) {
   queues_.clear();
-  folded_at_ = now;
+  updated_at_ = now;
 }
 
-void OwnerAdmission::take(common::TimePoint now, const std::vector<routing::TargetTime>& times) {
+void OwnerAdmission::add_reports(common::TimePoint now,
+                                 const std::vector<routing::TargetTime>& times) {
   for (const routing::TargetTime& report : times) {
     Queue& queue = queues_[report.backend];
     queue.answered += report.samples;
@@ -20,21 +21,21 @@
   }
 }
 
-void OwnerAdmission::fold(common::TimePoint now,
-                          const std::function<Owner(common::BackendId)>& owner_of) {
-  const double seconds = std::chrono::duration<double>(now - folded_at_).count();
+void OwnerAdmission::update(common::TimePoint now,
+                            const std::function<Owner(common::BackendId)>& owner_of) {
+  const double seconds = std::chrono::duration<double>(now - updated_at_).count();
   if (seconds <= 0) {
     return;
   }
-  folded_at_ = now;
+  updated_at_ = now;
   std::erase_if(queues_,
                 [&](const auto& item) { return now - item.second.heard > options_.memory; });
   for (auto& [id, queue] : queues_) {
-    fold_queue(queue, seconds, owner_of(id));
+    update_queue(queue, seconds, owner_of(id));
   }
 }
 
-void OwnerAdmission::fold_queue(Queue& queue, double seconds, const Owner& owner) const {
+void OwnerAdmission::update_queue(Queue& queue, double seconds, const Owner& owner) const {
   const double half_lives = seconds / std::chrono::duration<double>(options_.half_life).count();
   const double taken = 1.0 - std::exp2(-half_lives);
   if (queue.reports > 0) {
@@ -60,7 +61,7 @@
   queue.is_crowded = queue.part < 1.0 || excess > 0;
 }
 
-std::vector<routing::AdmittedShare> OwnerAdmission::told() const {
+std::vector<routing::AdmittedShare> OwnerAdmission::crowded_owners() const {
   constexpr double kPermille = 1000.0;
   std::vector<routing::AdmittedShare> parts;
   for (const auto& [id, queue] : queues_) {
--- a/src/controller/core/owner_admission.hpp
+++ b/src/controller/core/owner_admission.hpp
@@ -41,16 +41,16 @@
   explicit OwnerAdmission(OwnerAdmissionOptions options) : options_(options) {}
 
   void begin_term(common::TimePoint now);
-  void take(common::TimePoint now, const std::vector<routing::TargetTime>& times);
+  void add_reports(common::TimePoint now, const std::vector<routing::TargetTime>& times);
   /// What the leader knows of an owner besides.
   struct Owner {
     double demand = 0;  ///< requests a second for its keys, whether they are sent or not
     std::uint32_t slots = 1;
   };
   /// Works the parts out anew from what came since the last call.
-  void fold(common::TimePoint now, const std::function<Owner(common::BackendId)>& owner_of);
+  void update(common::TimePoint now, const std::function<Owner(common::BackendId)>& owner_of);
   /// The crowded owners, those with the smallest parts first where there are too many.
-  std::vector<routing::AdmittedShare> told() const;
+  std::vector<routing::AdmittedShare> crowded_owners() const;
 
  private:
   struct Queue {
@@ -64,10 +64,10 @@
     bool is_crowded = false;
     double part = 1;
   };
-  void fold_queue(Queue& queue, double seconds, const Owner& owner) const;
+  void update_queue(Queue& queue, double seconds, const Owner& owner) const;
 
   OwnerAdmissionOptions options_;
-  common::TimePoint folded_at_;
+  common::TimePoint updated_at_;
   std::map<common::BackendId, Queue> queues_;
 };
 
--- a/src/controller/core/range_controller.cpp
+++ b/src/controller/core/range_controller.cpp
@@ -141,7 +141,7 @@
       demands[range.owner] += loads_.rate(id, range.keys);
     }
   }
-  admission_.fold(now, [&](common::BackendId id) -> OwnerAdmission::Owner {
+  admission_.update(now, [&](common::BackendId id) -> OwnerAdmission::Owner {
     const BackendRecord* backend = state.find_backend(id);
     const auto demand = demands.find(id);
     if (backend == nullptr || demand == demands.end()) {
@@ -150,7 +150,7 @@
     return {demand->second, std::max<std::uint32_t>(1, backend->slots)};
   });
   if (loads_.observed_time() >= options_.demand_time) {
-    crowded_ = admission_.told();
+    crowded_ = admission_.crowded_owners();
   }
 }
 
@@ -296,7 +296,7 @@
     return grants_.may_assign(now, state, service, record);
   };
   input.can_notify = [&](common::BackendId id) {
-    return answers_.is_kept(id) || !ownership::has_heartbeat_grants(state, id);
+    return answers_.is_deferred(id) || !ownership::has_heartbeat_grants(state, id);
   };
   if (input.join) {
     next_join_ = now + options_.join_interval;
--- a/src/controller/core/range_controller.hpp
+++ b/src/controller/core/range_controller.hpp
@@ -75,13 +75,13 @@
   /// @return the heartbeats that were kept for an answer.
   std::vector<OperatorRequestId> end_term() {
     grants_.end_term();
-    return answers_.abandon();
+    return answers_.cancel_all();
   }
 
   void note_loads(TimePoint now, const routing::RouterHello& hello) {
     loads_.add(hello.key_loads);
     times_.add(hello.target_times);
-    admission_.take(now, hello.target_times);
+    admission_.add_reports(now, hello.target_times);
     backoffs_.take(now, hello);
   }
   /// Owners whose queues are too long, where that was worked out anew since the last call.
@@ -118,13 +118,13 @@
   /// @return the request of an older one, which is not answered any more.
   std::optional<OperatorRequestId> keep_heartbeat(TimePoint now, common::BackendId backend,
                                                   OperatorRequestId request) {
-    return answers_.keep(backend, request, now, now + options_.answer_delay);
+    return answers_.defer(backend, request, now, now + options_.answer_delay);
   }
   /// The same, once what the heartbeat said has been committed.
   std::optional<OperatorRequestId> keep_committed(TimePoint now, TimePoint received,
                                                   common::BackendId backend,
                                                   OperatorRequestId request) {
-    return answers_.keep(backend, request, received, now + options_.leaving_answer_delay);
+    return answers_.defer(backend, request, received, now + options_.leaving_answer_delay);
   }
   std::vector<HolderAnswer> collect_answers(TimePoint now, const ownership::CellState& state) {
     return answers_.collect(now, state, grants_);
--- a/src/controller/core/table_distributor.cpp
+++ b/src/controller/core/table_distributor.cpp
@@ -184,7 +184,7 @@
 std::int64_t TableDistributor::as_of_clock_us(const Subscriber& subscriber,
                                               common::TimePoint current_as_of) {
   // The router read its clock before its hello came here, so this is never later than the moment.
-  const Duration since_hello = current_as_of - subscriber.view.heard;
+  const Duration since_hello = current_as_of - subscriber.view.last_hello;
   return subscriber.clock_us + since_hello.count();
 }
 
@@ -229,7 +229,7 @@
 }
 
 bool TableDistributor::may_serve(common::TimePoint now, const Subscriber& subscriber) const {
-  return now - subscriber.view.heard <= options_.table_lease + options_.margin;
+  return now - subscriber.view.last_hello <= options_.table_lease + options_.margin;
 }
 
 std::optional<common::LogIndex> TableDistributor::in_force(
@@ -246,12 +246,13 @@
   return least;
 }
 
-std::optional<TableDistributor::Laggard> TableDistributor::laggard(common::TimePoint now) const {
-  std::optional<Laggard> slowest;
+std::optional<TableDistributor::SlowestRouter> TableDistributor::slowest_router(
+    common::TimePoint now) const {
+  std::optional<SlowestRouter> slowest;
   for (const auto& [name, subscriber] : subscribers_) {
     const Duration age = now - subscriber.behind_since.value_or(now);
     if (age > (slowest.has_value() ? slowest->age : Duration(0))) {
-      slowest = Laggard{name, age};
+      slowest = SlowestRouter{name, age};
     }
   }
   return slowest;
--- a/src/controller/core/table_distributor.hpp
+++ b/src/controller/core/table_distributor.hpp
@@ -69,7 +69,7 @@
   std::string address;
   common::LogIndex table_index;
   bool serving = false;
-  common::TimePoint heard;
+  common::TimePoint last_hello;
 };
 
 class TableDistributor {
@@ -121,12 +121,12 @@
   std::optional<common::LogIndex> in_force(common::TimePoint now,
                                            const ownership::CellState& state) const;
   /// The router that has been without something it was sent for the longest.
-  struct Laggard {
+  struct SlowestRouter {
     common::RouterName router;
     Duration age{0};  ///< since the first update that it has not confirmed
   };
   /// @return nothing where every router has confirmed all that it was sent.
-  std::optional<Laggard> laggard(common::TimePoint now) const;
+  std::optional<SlowestRouter> slowest_router(common::TimePoint now) const;
   /// Routers heard within the table lease.
   std::vector<RouterView> routers(common::TimePoint now) const;
 
--- a/src/controller/operator_views.cpp
+++ b/src/controller/operator_views.cpp
@@ -177,7 +177,7 @@
                        counters.tables_as_follower);
   metrics_.set_counter("planktray_news_relayed_total",
                        "Heartbeats and goodbyes with news passed on to the leader.",
-                       counters.news_relayed);
+                       counters.updates_relayed);
   metrics_.set_counter("planktray_snapshots_taken_total", "Snapshots taken.",
                        counters.snapshots_taken);
   metrics_.set_gauge("planktray_is_leader", "1 where this replica leads.",
--- a/src/sim/grant_world.cpp
+++ b/src/sim/grant_world.cpp
@@ -180,7 +180,7 @@
     manager_ = ownership::GrantManager(options_.grant);
     manager_.begin_term(now_, state_);
     monitor_.begin_term(now_);
-    answers_.abandon();
+    answers_.cancel_all();
     kept_.clear();
   }
   void make_trouble() {
@@ -324,7 +324,7 @@
     manager_.on_holdings_report(now_, state_, heartbeat.holder, heartbeat.report);
     const std::uint64_t request = ++requests_;
     kept_[request] = heartbeat;
-    answers_.keep(heartbeat.holder, request, now_, now_ + kAnswerDelay);
+    answers_.defer(heartbeat.holder, request, now_, now_ + kAnswerDelay);
   }
   void send_answer(const controller::HolderAnswer& answer) {
     const SentHeartbeat heartbeat = kept_.at(answer.request);
--- a/src/sim/overload_world.cpp
+++ b/src/sim/overload_world.cpp
@@ -185,12 +185,12 @@
     }
     next_fold_ = now_ + kFoldInterval;
     loads_.fold(now_);
-    admission_.fold(now_, [this](BackendId id) -> controller::OwnerAdmission::Owner {
+    admission_.update(now_, [this](BackendId id) -> controller::OwnerAdmission::Owner {
       const routing::KeyRangeRoute& range = table_.ranges[id.value - 1];
       return {loads_.rate(kServiceId, ownership::KeyRange{range.first, range.last}),
               options_.slots};
     });
-    crowded_ = admission_.told();
+    crowded_ = admission_.crowded_owners();
   }
 
   void send_update(std::size_t router, std::int64_t clock_us) {
@@ -329,7 +329,7 @@
 
   void take_hello(std::size_t place, const routing::RouterHello& hello) {
     loads_.add(hello.key_loads);
-    admission_.take(now_, hello.target_times);
+    admission_.add_reports(now_, hello.target_times);
     after(kOneWay, [this, place, clock = hello.clock_us] { send_update(place, clock); });
   }
 
--- a/src/sim/route_world.cpp
+++ b/src/sim/route_world.cpp
@@ -385,7 +385,7 @@
       update.router_rank = static_cast<std::uint32_t>(i);
       update.router_count = static_cast<std::uint32_t>(nodes_.size());
       update.term = common::Term(term_);
-      update.suspects = suspects_.told(now_);
+      update.suspects = suspects_.suspects(now_);
       update.base_index = node.core->table().index();
       update.current_index = deltas_.back().to;
       for (const routing::TableDelta& delta : deltas_) {
@@ -513,7 +513,7 @@
       }
       if (output.hello.has_value() && now_ >= node.cut_until) {
         after(kOneWay, [this, &node, life = node.life, hello = *output.hello] {
-          (void)suspects_.take(now_, hello);
+          (void)suspects_.on_hello(now_, hello);
           node.read_clock_us = node.life == life ? hello.clock_us : node.read_clock_us;
         });
         for (const BackendId id : output.hello->ended) {
--- a/test/controller/controller_core_test.cpp
+++ b/test/controller/controller_core_test.cpp
@@ -64,8 +64,8 @@
             replicas[to]->on_peer_message(at(time), message);
           }
         }
-        if (output.heard.has_value() && !cut[i]) {
-          replicas[leader()]->on_heartbeat_report(at(time), *output.heard);
+        if (output.heartbeat_report.has_value() && !cut[i]) {
+          replicas[leader()]->on_heartbeat_report(at(time), *output.heartbeat_report);
         }
         completions.insert(completions.end(), output.completions.begin(), output.completions.end());
         grants.insert(grants.end(), output.grants.begin(), output.grants.end());
@@ -144,7 +144,7 @@
   CHECK(cell.beat(follower, 1, false));
   cell.completions.clear();
   ControllerCore& core = *cell.replicas[follower];
-  core.depart(at(cell.time), core.new_request(), common::Incarnation("life"));
+  core.deregister(at(cell.time), core.new_request(), common::Incarnation("life"));
   cell.run_for(50);
   REQUIRE(cell.completions.size() == 1);
   CHECK(std::get<CommandCompleted>(cell.completions[0]).index.has_value());
@@ -265,7 +265,7 @@
   ControllerCore& leader = *cell.replicas[cell.leader()];
   cell.completions.clear();
   const OperatorRequestId request = leader.new_request();
-  leader.depart(at(cell.time), request, life);
+  leader.deregister(at(cell.time), request, life);
   cell.exchange();
   cell.run_for(50);
   REQUIRE(cell.completions.size() == 1);
@@ -289,7 +289,7 @@
   heartbeat.service = "s";
   heartbeat.sequence = 1;
   leader.heartbeat(at(cell.time), leader.new_request(), heartbeat);
-  leader.depart(at(cell.time), leader.new_request(), life);
+  leader.deregister(at(cell.time), leader.new_request(), life);
   cell.exchange();
   cell.run_for(50);
   const ownership::BackendRecord* known = leader.state().find_incarnation(life);
--- a/test/controller/fleet.hpp
+++ b/test/controller/fleet.hpp
@@ -190,9 +190,9 @@
         send(to, [this, to, message] { controllers_[to]->on_peer_message(now_, message); });
       }
     }
-    if (output.heard.has_value() && from != cut_ && leader().has_value()) {
+    if (output.heartbeat_report.has_value() && from != cut_ && leader().has_value()) {
       const std::size_t to = *leader();
-      send(to, [this, to, heard = *output.heard] {
+      send(to, [this, to, heard = *output.heartbeat_report] {
         controllers_[to]->on_heartbeat_report(now_, heard);
       });
     }
--- a/test/controller/holder_answers_test.cpp
+++ b/test/controller/holder_answers_test.cpp
@@ -12,7 +12,7 @@
   ownership::CellState state;
   ownership::GrantManager grants{ownership::GrantOptions()};
   CHECK(answers.next_due() == TimePoint::max());
-  CHECK_FALSE(answers.keep(common::BackendId(1), 10, at(0), at(500)).has_value());
+  CHECK_FALSE(answers.defer(common::BackendId(1), 10, at(0), at(500)).has_value());
   CHECK(answers.next_due() == at(500));
   CHECK(answers.collect(at(499), state, grants).empty());
   const auto due = answers.collect(at(500), state, grants);
@@ -24,13 +24,13 @@
 
 TEST_CASE("of two heartbeats of one back end the newer one is kept") {
   HolderAnswers answers;
-  CHECK_FALSE(answers.keep(common::BackendId(1), 10, at(0), at(500)).has_value());
-  CHECK(answers.keep(common::BackendId(1), 11, at(100), at(600)) == 10);
+  CHECK_FALSE(answers.defer(common::BackendId(1), 10, at(0), at(500)).has_value());
+  CHECK(answers.defer(common::BackendId(1), 11, at(100), at(600)) == 10);
   // One whose word took long to commit, and was overtaken.
-  CHECK(answers.keep(common::BackendId(1), 9, at(50), at(160)) == 9);
+  CHECK(answers.defer(common::BackendId(1), 9, at(50), at(160)) == 9);
   CHECK(answers.next_due() == at(600));
-  CHECK(answers.abandon() == std::vector<OperatorRequestId>{11});
-  CHECK(answers.abandon().empty());
+  CHECK(answers.cancel_all() == std::vector<OperatorRequestId>{11});
+  CHECK(answers.cancel_all().empty());
 }
 
 }  // namespace
--- a/test/controller/key_move_log_test.cpp
+++ b/test/controller/key_move_log_test.cpp
@@ -39,7 +39,7 @@
     first = add_backend("first");
     second = add_backend("second");
     assign(0, kAll, first);
-    (void)log.take_given();
+    (void)log.take_assigned();
   }
   BackendId add_backend(const std::string& name) {
     ownership::RegisterBackend registration;
@@ -83,7 +83,7 @@
   CHECK(moving[0].to.value == "second");
   CHECK(moving[0].cause == MoveCause::kBalance);
   keys.assign(830, kLower, keys.second);
-  const auto given = keys.log.take_given();
+  const auto given = keys.log.take_assigned();
   REQUIRE(given.size() == 1);
   CHECK(given[0].to.value == "second");
   CHECK(given[0].without_owner == milliseconds(730));
@@ -94,7 +94,7 @@
   keys.move(0, kAll, keys.fence(0));
   keys.assign(400, kLower, keys.second);
   keys.assign(900, {1000, config::kKeyCount - 1}, keys.second);
-  const auto given = keys.log.take_given();
+  const auto given = keys.log.take_assigned();
   REQUIRE(given.size() == 2);
   CHECK(given[0].without_owner == milliseconds(400));
   CHECK(given[1].without_owner == milliseconds(900));
@@ -118,7 +118,7 @@
   keys.move(0, kLower, keys.fence(0));
   keys.log.begin_term();
   keys.assign(500, kLower, keys.second);
-  const auto given = keys.log.take_given();
+  const auto given = keys.log.take_assigned();
   REQUIRE(given.size() == 1);
   CHECK_FALSE(given[0].without_owner.has_value());
 }
--- a/test/controller/owner_admission_test.cpp
+++ b/test/controller/owner_admission_test.cpp
@@ -36,14 +36,14 @@
       time.samples = static_cast<std::uint32_t>(std::lround(answered * kFold));
       time.reports = time.samples;
       time.waiting = static_cast<std::uint32_t>(std::lround(queue_ * time.reports));
-      admission_.take(at(now_ms_), {time});
-      admission_.fold(at(now_ms_), [this](BackendId /*id*/) {
+      admission_.add_reports(at(now_ms_), {time});
+      admission_.update(at(now_ms_), [this](BackendId /*id*/) {
         return OwnerAdmission::Owner{demand_, kSlots};
       });
     }
   }
   double part() const {
-    const auto told = admission_.told();
+    const auto told = admission_.crowded_owners();
     return told.empty() ? 1.0 : told.front().permille / 1000.0;
   }
   double queue() const { return queue_; }
@@ -91,12 +91,12 @@
   OwnerAdmission admission{OwnerAdmissionOptions()};
   const auto owner_of = [](BackendId /*id*/) { return OwnerAdmission::Owner{40, kSlots}; };
   for (int ms = 300; ms <= 3000; ms += 300) {
-    admission.take(at(ms), {{kOwner, 100'000, 4, 4, 64}});
-    admission.fold(at(ms), owner_of);
+    admission.add_reports(at(ms), {{kOwner, 100'000, 4, 4, 64}});
+    admission.update(at(ms), owner_of);
   }
-  CHECK(admission.told().size() == 1);
-  admission.fold(at(8000), owner_of);
-  CHECK(admission.told().empty());
+  CHECK(admission.crowded_owners().size() == 1);
+  admission.update(at(8000), owner_of);
+  CHECK(admission.crowded_owners().empty());
 }
 
 }  // namespace
--- a/test/routing/crash_ledger_test.cpp
+++ b/test/routing/crash_ledger_test.cpp
@@ -148,29 +148,29 @@
   routers[0].see(kBad, 1, 0);
   routers[1].see(kBad, 2, 400);
   routers[2].see(kBad, 3, 800);
-  CHECK(leader.take(at(900), routers[1].hello(900)).empty());
-  CHECK(leader.take(at(901), routers[0].hello(901)).empty());
-  const auto blocked = leader.take(at(902), routers[2].hello(902));
+  CHECK(leader.on_hello(at(900), routers[1].hello(900)).empty());
+  CHECK(leader.on_hello(at(901), routers[0].hello(901)).empty());
+  const auto blocked = leader.on_hello(at(902), routers[2].hello(902));
   REQUIRE(blocked.size() == 1);
   CHECK(blocked[0].digest == kBad);
   CHECK(blocked[0].crashes == 3);
   for (Router& router : routers) {
-    router.suspects.on_leader_list(at(1000), at(902), Term(1), leader.told(at(1000)));
+    router.suspects.on_leader_list(at(1000), at(902), Term(1), leader.suspects(at(1000)));
     CHECK(router.suspects.is_blocked(at(1001), kBad));
     CHECK_FALSE(router.suspects.is_blocked(at(1001), kGood));
   }
   CHECK(routers[0].hello(1100).crashes.size() == 1);  // to the leader that it has just heard of
-  routers[0].suspects.on_leader_list(at(1200), at(1100), Term(1), leader.told(at(1200)));
+  routers[0].suspects.on_leader_list(at(1200), at(1100), Term(1), leader.suspects(at(1200)));
   CHECK(routers[0].hello(1300).crashes.empty());  // this one has read it
 
   // A new leader knows nothing, and is told again.
   controller::FleetSuspects next{CrashLedgerOptions()};
   for (Router& router : routers) {
-    router.suspects.on_leader_list(at(2000), at(1100), Term(2), next.told(at(2000)));
-    next.take(at(2100), router.hello(2100));
+    router.suspects.on_leader_list(at(2000), at(1100), Term(2), next.suspects(at(2000)));
+    next.on_hello(at(2100), router.hello(2100));
   }
-  CHECK(next.told(at(2200)).size() == 1);
-  CHECK(next.told(at(2200))[0].blocked_for_ms > 100'000);
+  CHECK(next.suspects(at(2200)).size() == 1);
+  CHECK(next.suspects(at(2200))[0].blocked_for_ms > 100'000);
 }
 
 TEST_CASE("a list outlives its leader and the routers that saw the crashes") {
@@ -178,11 +178,11 @@
   router.suspects.on_leader_list(at(0), at(0), Term(1), {{kBad, 60'000, 3}, {kGood, 0, 1}});
   CHECK(router.suspects.is_blocked(at(1), kBad));
   controller::FleetSuspects next{CrashLedgerOptions()};
-  router.suspects.on_leader_list(at(1000), at(900), Term(2), next.told(at(1000)));
+  router.suspects.on_leader_list(at(1000), at(900), Term(2), next.suspects(at(1000)));
   CHECK(router.suspects.is_blocked(at(1001), kBad));  // the new leader does not know it yet
-  next.take(at(1100), router.hello(1100));
-  REQUIRE(next.told(at(1200)).size() == 2);
-  router.suspects.on_leader_list(at(1200), at(1100), Term(2), next.told(at(1200)));
+  next.on_hello(at(1100), router.hello(1100));
+  REQUIRE(next.suspects(at(1200)).size() == 2);
+  router.suspects.on_leader_list(at(1200), at(1100), Term(2), next.suspects(at(1200)));
   CHECK(router.suspects.is_blocked(at(50'000), kBad));
   CHECK_FALSE(router.suspects.is_blocked(at(62'000), kBad));
   CHECK(router.hello(1300).suspects_listed.empty());
@@ -192,11 +192,11 @@
   controller::FleetSuspects leader{CrashLedgerOptions()};
   RouterHello hello;
   hello.suspects_listed = {{kBad, 0, 2}};
-  leader.take(at(1000), hello);
-  leader.take(at(1010), hello);  // another router has the same list
+  leader.on_hello(at(1000), hello);
+  leader.on_hello(at(1010), hello);  // another router has the same list
   Router router;
   router.see(kBad, 7, 2000);
-  CHECK(leader.take(at(2100), router.hello(2100)).size() == 1);
+  CHECK(leader.on_hello(at(2100), router.hello(2100)).size() == 1);
 }
 
 TEST_CASE("an end of a connection whose target lives is no crash") {
@@ -215,21 +215,21 @@
 TEST_CASE("a good answer at one router clears the request for all") {
   Router router;
   controller::FleetSuspects leader{CrashLedgerOptions()};
-  leader.take(at(0), {});
+  leader.on_hello(at(0), {});
   Router other;
   other.see(kGood, 1, 0);
   other.see(kGood, 2, 500);
   other.see(kGood, 3, 1000);
-  leader.take(at(1100), other.hello(1100));
-  router.suspects.on_leader_list(at(1200), at(1150), Term(1), leader.told(at(1200)));
+  leader.on_hello(at(1100), other.hello(1100));
+  router.suspects.on_leader_list(at(1200), at(1150), Term(1), leader.suspects(at(1200)));
   CHECK(router.suspects.is_blocked(at(1201), kGood));
   router.suspects.on_answered(at(1300), kGood);  // it had begun before
   CHECK_FALSE(router.suspects.is_blocked(at(1301), kGood));
   router.suspects.on_leader_list(at(1320), at(1310), Term(1),
-                                 leader.told(at(1320)));  // an older list
+                                 leader.suspects(at(1320)));  // an older list
   CHECK_FALSE(router.suspects.is_blocked(at(1321), kGood));
-  leader.take(at(1400), router.hello(1400));
-  CHECK(leader.told(at(1500)).empty());
+  leader.on_hello(at(1400), router.hello(1400));
+  CHECK(leader.suspects(at(1500)).empty());
 }
 
 TEST_CASE("damaged reports cost themselves alone") {
@@ -242,7 +242,7 @@
                    {kBad, BackendId(5), 1'500'000, 1'400'000},
                    {kBad, BackendId(6), 1'000'000, 900'000}};
   hello.suspects_answered = {{kBad, ~0ULL}};
-  CHECK(leader.take(at(5000), hello).size() == 1);
+  CHECK(leader.on_hello(at(5000), hello).size() == 1);
 }
 
 }  // namespace
