--- a/src/controller/core/fleet_suspects.cpp
+++ b/src/controller/core/fleet_suspects.cpp
@@ -6,12 +6,12 @@
 namespace planktray::controller {
 namespace {
 
-/// Reports of the same hello come in the order in which the crashes were seen; older ages than this
-/// are of no leader's memory, or damaged.
-constexpr std::uint64_t kOldestUs = 3'600'000'000;
+/// Reports of older events than this are ignored: no leader keeps crashes for that long, so the
+/// report is damaged.
+constexpr std::uint64_t kMaxReportAgeUs = 3'600'000'000;
 
-/// A list of a leader before names no longer time than this.
-constexpr common::Duration kLongestListed = std::chrono::hours(1);
+/// Entries of a former leader's list that block a request for longer than this are ignored.
+constexpr common::Duration kMaxListedBlock = std::chrono::hours(1);
 
 common::TimePoint before(common::TimePoint now, std::uint64_t age_us) {
   return now - common::Duration(static_cast<common::Duration::rep>(age_us));
@@ -23,25 +23,26 @@
                                                            const routing::RouterHello& hello) {
   ledger_.expire(now);
   std::vector<routing::CrashSuspect> blocked;
+  // Reports within one hello are in the order in which the crashes were seen.
   for (const routing::CrashReport& report : hello.crashes) {
-    if (report.sent_age_us > kOldestUs || report.ended_age_us > report.sent_age_us) {
+    if (report.sent_age_us > kMaxReportAgeUs || report.ended_age_us > report.sent_age_us) {
       continue;
     }
-    const bool is_news =
+    const bool is_newly_blocked =
         ledger_.record_crash({report.digest, report.backend, before(now, report.sent_age_us),
                               before(now, report.ended_age_us)});
-    if (is_news) {
+    if (is_newly_blocked) {
       blocked.push_back({report.digest, 0, {}});
     }
   }
   for (const routing::AnsweredSuspect& answered : hello.suspects_answered) {
-    if (answered.age_us <= kOldestUs) {
+    if (answered.age_us <= kMaxReportAgeUs) {
       ledger_.record_answer(answered.digest, before(now, answered.age_us), true);
     }
   }
   for (const routing::SuspectRequest& listed : hello.suspects_listed) {
     const auto left = std::chrono::milliseconds(listed.blocked_for_ms);
-    if (listed.digest != 0 && left <= kLongestListed) {
+    if (listed.digest != 0 && left <= kMaxListedBlock) {
       ledger_.import_suspect(now, {listed.digest, listed.crashes, now + left});
     }
   }
@@ -62,15 +63,15 @@
                       [](const auto& a, const auto& b) { return a.crashes > b.crashes; });
     suspects.resize(routing::kMaxSuspects);
   }
-  std::vector<routing::SuspectRequest> told;
+  std::vector<routing::SuspectRequest> published;
   for (const routing::CrashSuspect& suspect : suspects) {
     const auto left =
         std::chrono::duration_cast<std::chrono::milliseconds>(suspect.blocked_until - now).count();
     const auto bounded =
         std::clamp<std::int64_t>(left, 0, std::numeric_limits<std::uint32_t>::max());
-    told.push_back({suspect.digest, static_cast<std::uint32_t>(bounded), suspect.crashes});
+    published.push_back({suspect.digest, static_cast<std::uint32_t>(bounded), suspect.crashes});
   }
-  return told;
+  return published;
 }
 
 }  // namespace planktray::controller
--- a/src/controller/core/fleet_suspects.hpp
+++ b/src/controller/core/fleet_suspects.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// The leader's list of requests that crash their targets, made of what all routers report.
-/// Volatile: routers report what they have seen to each new leader again.
+/// The leader's list of requests that crash their targets, merged from the reports of all routers.
+/// The list is not replicated: routers report the crashes that they have seen to each new leader.
 
 #include <vector>
 
@@ -15,10 +15,12 @@
   explicit FleetSuspects(routing::CrashLedgerOptions options) : ledger_(options) {}
 
   void begin_term() { ledger_.clear(); }
-  /// Takes one router's report. @return requests that are refused from now on, for the log.
+  /// Merges the reports in a router's hello.
+  /// @return the requests that are newly blocked, for the log.
   std::vector<routing::CrashSuspect> on_hello(common::TimePoint now,
                                               const routing::RouterHello& hello);
-  /// What routers are told, the longest blocked first where there are too many.
+  /// The suspects to publish to routers. Where there are more than a message may carry, those with
+  /// the most crashes come first and the others are left out.
   std::vector<routing::SuspectRequest> suspects(common::TimePoint now) const;
 
  private:
