--- a/src/controller/core/holder_answers.cpp
+++ b/src/controller/core/holder_answers.cpp
@@ -9,15 +9,15 @@
 std::optional<OperatorRequestId> HolderAnswers::defer(common::BackendId backend,
                                                       OperatorRequestId request, TimePoint received,
                                                       TimePoint answer_by) {
-  const auto [kept, is_first] =
+  const auto [deferred, is_first] =
       deferred_.try_emplace(backend, Deferred{request, received, answer_by});
   if (is_first) {
     return std::nullopt;
   }
-  if (received < kept->second.received) {
+  if (received < deferred->second.received) {
     return request;
   }
-  return std::exchange(kept->second, Deferred{request, received, answer_by}).request;
+  return std::exchange(deferred->second, Deferred{request, received, answer_by}).request;
 }
 
 std::vector<HolderAnswer> HolderAnswers::collect(TimePoint now, const ownership::CellState& state,
@@ -26,32 +26,32 @@
   if (deferred_.empty()) {
     return answers;
   }
-  const std::set<common::BackendId> with_news = grants.holders_to_notify(now);
-  for (auto kept = deferred_.begin(); kept != deferred_.end();) {
-    const auto& [backend, heartbeat] = *kept;
-    if (now < heartbeat.answer_by && !with_news.contains(backend)) {
-      ++kept;
+  const std::set<common::BackendId> with_updates = grants.holders_to_notify(now);
+  for (auto next = deferred_.begin(); next != deferred_.end();) {
+    const auto& [backend, heartbeat] = *next;
+    if (now < heartbeat.answer_by && !with_updates.contains(backend)) {
+      ++next;
       continue;
     }
     answers.push_back(
         {heartbeat.request, grants.answer_heartbeat(now, heartbeat.received, state, backend)});
-    kept = deferred_.erase(kept);
+    next = deferred_.erase(next);
   }
   return answers;
 }
 
 std::vector<OperatorRequestId> HolderAnswers::cancel_all() {
   std::vector<OperatorRequestId> requests;
-  for (const auto& [backend, kept] : std::exchange(deferred_, {})) {
-    requests.push_back(kept.request);
+  for (const auto& [backend, deferred] : std::exchange(deferred_, {})) {
+    requests.push_back(deferred.request);
   }
   return requests;
 }
 
 TimePoint HolderAnswers::next_due() const {
   TimePoint due = TimePoint::max();
-  for (const auto& [backend, kept] : deferred_) {
-    due = std::min(due, kept.answer_by);
+  for (const auto& [backend, deferred] : deferred_) {
+    due = std::min(due, deferred.answer_by);
   }
   return due;
 }
--- a/src/controller/core/holder_answers.hpp
+++ b/src/controller/core/holder_answers.hpp
@@ -1,10 +1,12 @@
 #pragma once
-/// Heartbeats of back ends that hear in the answer what they are to hold, until they are answered.
+/// Deferred answers to heartbeats of holders: back ends that learn from the answer which keys they
+/// hold.
 ///
-/// An answer is the only way to tell such a back end anything, and its next heartbeat may be most
-/// of an interval away. So the leader keeps a heartbeat for a while, unless it has news already: a
-/// move then reaches the owner before and the owner after at once. The hold runs from the sending
-/// of the heartbeat, so that waiting never stretches it.
+/// The answer to a heartbeat is the only message that reaches such a back end, and its next
+/// heartbeat may be almost a whole interval away. The leader therefore defers the answer for a
+/// while, unless it has an update for the back end already; a move of keys then reaches both its
+/// old and its new owner at once. The hold time counts from the sending of the heartbeat, so the
+/// deferral does not extend it.
 
 #include <cstdint>
 #include <map>
@@ -18,7 +20,7 @@
 using common::Duration;
 using common::TimePoint;
 
-/// Identity of an operator's or back end's request inside this process.
+/// Identifies a request of an operator or a back end within this process.
 using OperatorRequestId = std::uint64_t;
 
 struct HolderAnswer {
@@ -28,18 +30,19 @@
 
 class HolderAnswers {
  public:
-  /// Keeps a heartbeat that arrived at `received`, until `answer_by` at the latest.
-  /// @return the older request, where another heartbeat is kept: its sender has given that one up.
+  /// Defers the answer to a heartbeat that arrived at `received` until `answer_by` at the latest.
+  /// @return the older request of the back end, if another heartbeat is deferred: its sender has
+  ///   given that request up.
   std::optional<OperatorRequestId> defer(common::BackendId backend, OperatorRequestId request,
                                          TimePoint received, TimePoint answer_by);
-  /// The answers that are due. Call only while the leader lease holds.
+  /// Returns the answers that are due. Call only while the leader lease is held.
   std::vector<HolderAnswer> collect(TimePoint now, const ownership::CellState& state,
                                     ownership::GrantManager& grants);
-  /// Gives up all that is kept: this replica leads no more.
+  /// Drops all deferred heartbeats, when this replica stops leading. @return their requests.
   std::vector<OperatorRequestId> cancel_all();
-  /// True where the back end waits for an answer, so that it can be told something at once.
+  /// True if a heartbeat of the back end is deferred, so that an update can reach it at once.
   bool is_deferred(common::BackendId backend) const { return deferred_.contains(backend); }
-  /// When the first kept heartbeat has to be answered.
+  /// When the first deferred heartbeat must be answered.
   TimePoint next_due() const;
 
  private:
--- a/test/controller/holder_answers_test.cpp
+++ b/test/controller/holder_answers_test.cpp
@@ -7,7 +7,7 @@
 
 TimePoint at(std::int64_t value) { return common::from_microseconds(value * 1000); }
 
-TEST_CASE("a heartbeat without news is answered when it has waited long enough") {
+TEST_CASE("a heartbeat without an update is answered at its deadline") {
   HolderAnswers answers;
   ownership::CellState state;
   ownership::GrantManager grants{ownership::GrantOptions()};
@@ -22,11 +22,11 @@
   CHECK(answers.collect(at(501), state, grants).empty());
 }
 
-TEST_CASE("of two heartbeats of one back end the newer one is kept") {
+TEST_CASE("of two heartbeats of one back end the newer one is deferred") {
   HolderAnswers answers;
   CHECK_FALSE(answers.defer(common::BackendId(1), 10, at(0), at(500)).has_value());
   CHECK(answers.defer(common::BackendId(1), 11, at(100), at(600)) == 10);
-  // One whose word took long to commit, and was overtaken.
+  // An older heartbeat that is deferred later, since its content took long to commit.
   CHECK(answers.defer(common::BackendId(1), 9, at(50), at(160)) == 9);
   CHECK(answers.next_due() == at(600));
   CHECK(answers.cancel_all() == std::vector<OperatorRequestId>{11});
