--- a/src/controller/core/owner_admission.hpp
+++ b/src/controller/core/owner_admission.hpp
@@ -1,8 +1,9 @@
 #pragma once
-/// The leader's bound on the queues of owners of keys. An owner cannot be passed by, and a queue
-/// that grows longer than the callers with the least time can bear serves only the others. From
-/// what all routers report of an owner's queue follows the part of the requests for its keys that
-/// may be sent, the same at each router. Volatile: a new leader hears of the queues with the first
+/// Admission control for owners of keys, by the leader. Requests for a key can go to its owner
+/// only, and once the queue there is longer than the shortest deadlines allow, only callers with
+/// longer deadlines are served. From the queue lengths that all routers report, the leader computes
+/// for each owner the fraction of the requests for its keys that may be sent, the same at each
+/// router. The state is not replicated: a new leader receives the queue lengths with the first
 /// hellos.
 
 #include <cstdint>
@@ -17,23 +18,24 @@
 namespace planktray::controller {
 
 struct OwnerAdmissionOptions {
-  /// A queue is kept at this many requests for each slot of the owner.
+  /// Target queue length in waiting requests per slot of the owner.
   double queue_per_slot = 1.5;
-  /// With this many waiting requests for each slot, an owner answers as many as it can.
+  /// From this many waiting requests per slot on, the owner runs at its capacity.
   double busy_per_slot = 0.5;
-  /// An owner is crowded from this many waiting requests for each slot on.
+  /// An owner is crowded from this many waiting requests per slot on.
   double crowded_per_slot = 2.0;
-  /// Time in which a queue is to come back to what is kept. Longer than the way from an answer over
-  /// the leader to all routers (1 to 2 s), or queues swing.
+  /// Time in which a queue is to return to its target length. Longer than the feedback delay from
+  /// an answer through the leader to all routers (1 to 2 s), since queues would oscillate
+  /// otherwise.
   common::Duration settle_time = std::chrono::milliseconds(2000);
-  /// After this time what was seen of an owner counts half.
+  /// Half-life of the smoothed measurements.
   common::Duration half_life = std::chrono::milliseconds(600);
-  /// Part that is admitted in any case: without requests nothing is heard of the owner.
-  double least_part = 0.05;
-  /// An owner of which nothing was heard for this long is forgotten.
+  /// Fraction that is always admitted: an owner that gets no requests is not reported on.
+  double minimum_share = 0.05;
+  /// An owner without a report for this long is removed.
   common::Duration memory = std::chrono::milliseconds(4000);
-  /// Crowded owners told to routers at most.
-  std::size_t most_told = routing::kMaxCrowdedOwners;
+  /// Maximum number of crowded owners published to routers.
+  std::size_t maximum_published = routing::kMaxCrowdedOwners;
 };
 
 class OwnerAdmission {
@@ -42,27 +44,27 @@
 
   void begin_term(common::TimePoint now);
   void add_reports(common::TimePoint now, const std::vector<routing::TargetTime>& times);
-  /// What the leader knows of an owner besides.
+  /// An owner's demand and size, which its queue reports do not contain.
   struct Owner {
-    double demand = 0;  ///< requests a second for its keys, whether they are sent or not
+    double demand = 0;  ///< requests per second for its keys, whether sent or not
     std::uint32_t slots = 1;
   };
-  /// Works the parts out anew from what came since the last call.
+  /// Recomputes the admitted shares from the reports since the last call.
   void update(common::TimePoint now, const std::function<Owner(common::BackendId)>& owner_of);
-  /// The crowded owners, those with the smallest parts first where there are too many.
+  /// The crowded owners to publish. Where there are too many, those with the smallest shares.
   std::vector<routing::AdmittedShare> crowded_owners() const;
 
  private:
   struct Queue {
-    std::uint32_t answered = 0;  ///< since the last fold, as the next two
-    std::uint32_t reports = 0;
-    std::uint32_t waiting = 0;
-    common::TimePoint heard;
-    double length = 0;    ///< smoothed requests that wait
-    double rate = 0;      ///< smoothed answers a second
-    double capacity = 0;  ///< answers a second while requests waited
+    std::uint32_t answered = 0;  ///< requests, since the last update
+    std::uint32_t reports = 0;   ///< since the last update
+    std::uint32_t waiting = 0;   ///< sum over these reports
+    common::TimePoint last_report;
+    double length = 0;    ///< waiting requests, smoothed
+    double rate = 0;      ///< answers per second, smoothed
+    double capacity = 0;  ///< answers per second while requests were waiting
     bool is_crowded = false;
-    double part = 1;
+    double admitted_share = 1;
   };
   void update_queue(Queue& queue, double seconds, const Owner& owner) const;
 
