--- a/src/controller/core/key_move_log.hpp
+++ b/src/controller/core/key_move_log.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// What a leader's applied plans mean for keys, for its log: which keys leave whom for whom and
-/// why, and how long they had no owner. Decides nothing.
+/// Derives log events from a leader's applied plans: which keys move from which owner to which and
+/// for what cause, and how long they had no owner. Has no influence on decisions.
 
 #include <cstdint>
 #include <functional>
@@ -19,19 +19,19 @@
 enum class MoveCause : std::uint8_t {
   kEnded,      ///< the owner's process has ended
   kLeaving,    ///< the owner is leaving
-  kEvacuated,  ///< the owner's zone is
-  kSpared,     ///< the owner is cold, or keeps routers away
-  kBalance,    ///< the load is evened out
+  kEvacuated,  ///< the owner's zone has been evacuated
+  kDegraded,   ///< the owner is cold, or has asked routers to back off
+  kBalance,    ///< load balancing
 };
 
 std::string_view to_string(MoveCause cause);
 
-/// Keys that their owner is to give up from now on.
+/// Keys that their owner must give up from now on.
 struct KeysMoving {
   common::ServiceName service;
   ownership::KeyRange keys;
   common::Incarnation from;
-  common::Incarnation to;  ///< intended; empty: nobody yet
+  common::Incarnation to;  ///< the intended owner; empty where none is chosen yet
   MoveCause cause = MoveCause::kBalance;
 };
 
@@ -40,19 +40,19 @@
   common::ServiceName service;
   ownership::KeyRange keys;
   common::Incarnation to;
-  /// Since routers were told to send nothing more for them; nothing where this leader did not see
-  /// that.
+  /// Time since the move that stopped routers from sending requests for them; nullopt if this
+  /// leader did not apply that move.
   std::optional<common::Duration> without_owner;
 };
 
 class KeyMoveLog {
  public:
-  using IsSpared = std::function<bool(const ownership::BackendRecord&)>;
+  using IsDegraded = std::function<bool(const ownership::BackendRecord&)>;
 
   void begin_term() { moving_.clear(); }
-  /// Notes a plan that has been applied to the state at `index`.
+  /// Records a plan that has been applied to the state at `index`.
   void on_applied(common::TimePoint now, const ownership::CellState& state, common::LogIndex index,
-                  const ownership::ApplyRangePlan& plan, const IsSpared& is_spared);
+                  const ownership::ApplyRangePlan& plan, const IsDegraded& is_degraded);
   std::vector<KeysMoving> take_moving() { return std::exchange(moves_, {}); }
   std::vector<KeysAssigned> take_assigned() { return std::exchange(assigned_, {}); }
 
@@ -62,12 +62,13 @@
     common::TimePoint since;
   };
 
-  void note_move(common::TimePoint now, const ownership::CellState& state, common::LogIndex index,
-                 const ownership::RangeMove& move, const IsSpared& is_spared);
-  void note_assignment(common::TimePoint now, const ownership::CellState& state,
-                       common::LogIndex index, const ownership::RangeAssignment& assignment);
-  /// Since when the keys have no owner; forgets it where all that moved with them have one.
-  std::optional<common::TimePoint> take_since(const ownership::RangeAssignment& assignment);
+  void record_move(common::TimePoint now, const ownership::CellState& state, common::LogIndex index,
+                   const ownership::RangeMove& move, const IsDegraded& is_degraded);
+  void record_assignment(common::TimePoint now, const ownership::CellState& state,
+                         common::LogIndex index, const ownership::RangeAssignment& assignment);
+  /// Returns since when the keys have had no owner. Removes the record once all keys of the same
+  /// move have an owner.
+  std::optional<common::TimePoint> take_move_time(const ownership::RangeAssignment& assignment);
 
   /// By service and first key.
   std::map<std::pair<common::ServiceId, std::uint32_t>, Moving> moving_;
--- a/test/controller/key_move_log_test.cpp
+++ b/test/controller/key_move_log_test.cpp
@@ -1,4 +1,4 @@
-/// What the leader's log says of keys that move.
+/// Log events for keys that move.
 
 #include "controller/core/key_move_log.hpp"
 
@@ -17,7 +17,7 @@
 constexpr ownership::KeyRange kAll;
 constexpr ownership::KeyRange kLower{0, 999};
 
-/// A keyed service; the first of two back ends owns all keys.
+/// A keyed service with two back ends, the first of which owns all keys.
 struct Keys {
   ownership::CellState state;
   KeyMoveLog log;
@@ -54,16 +54,16 @@
   common::Epoch fence(std::uint32_t key) const {
     return state.routed_services().at(service).ranges.record_of(key).fence;
   }
-  void apply(std::int64_t now, const ownership::ApplyRangePlan& plan, bool is_spared = false) {
+  void apply(std::int64_t now, const ownership::ApplyRangePlan& plan, bool is_degraded = false) {
     state.apply(common::LogIndex(++index), ownership::Command(plan));
     log.on_applied(at(now), state, common::LogIndex(index), plan,
-                   [is_spared](const ownership::BackendRecord&) { return is_spared; });
+                   [is_degraded](const ownership::BackendRecord&) { return is_degraded; });
   }
-  void move(std::int64_t now, const ownership::KeyRange& keys, common::Epoch under,
-            bool is_spared = false) {
+  void move(std::int64_t now, const ownership::KeyRange& keys, common::Epoch expected_fence,
+            bool is_degraded = false) {
     ownership::ApplyRangePlan plan;
-    plan.moves.push_back({service, keys, under, second});
-    apply(now, plan, is_spared);
+    plan.moves.push_back({service, keys, expected_fence, second});
+    apply(now, plan, is_degraded);
   }
   void assign(std::int64_t now, const ownership::KeyRange& keys, BackendId owner) {
     ownership::ApplyRangePlan plan;
@@ -72,7 +72,8 @@
   }
 };
 
-TEST_CASE("a move is told with its owners and its cause, and its end with the time between") {
+TEST_CASE(
+    "a move is logged with its owners and cause, and its end with the time without an owner") {
   Keys keys;
   keys.move(100, kLower, keys.fence(0));
   const auto moving = keys.log.take_moving();
@@ -83,27 +84,27 @@
   CHECK(moving[0].to.value == "second");
   CHECK(moving[0].cause == MoveCause::kBalance);
   keys.assign(830, kLower, keys.second);
-  const auto given = keys.log.take_assigned();
-  REQUIRE(given.size() == 1);
-  CHECK(given[0].to.value == "second");
-  CHECK(given[0].without_owner == milliseconds(730));
+  const auto assigned = keys.log.take_assigned();
+  REQUIRE(assigned.size() == 1);
+  CHECK(assigned[0].to.value == "second");
+  CHECK(assigned[0].without_owner == milliseconds(730));
 }
 
-TEST_CASE("keys that moved together and get owners apart are each followed to their end") {
+TEST_CASE("keys that move together and get owners separately are tracked separately") {
   Keys keys;
   keys.move(0, kAll, keys.fence(0));
   keys.assign(400, kLower, keys.second);
   keys.assign(900, {1000, config::kKeyCount - 1}, keys.second);
-  const auto given = keys.log.take_assigned();
-  REQUIRE(given.size() == 2);
-  CHECK(given[0].without_owner == milliseconds(400));
-  CHECK(given[1].without_owner == milliseconds(900));
+  const auto assigned = keys.log.take_assigned();
+  REQUIRE(assigned.size() == 2);
+  CHECK(assigned[0].without_owner == milliseconds(400));
+  CHECK(assigned[1].without_owner == milliseconds(900));
 }
 
-TEST_CASE("why an owner gives up its keys is told by what is known of it") {
-  Keys spared;
-  spared.move(0, kLower, spared.fence(0), true);
-  CHECK(spared.log.take_moving().at(0).cause == MoveCause::kSpared);
+TEST_CASE("the cause of a move is derived from the state of the owner") {
+  Keys degraded;
+  degraded.move(0, kLower, degraded.fence(0), true);
+  CHECK(degraded.log.take_moving().at(0).cause == MoveCause::kDegraded);
   Keys leaving;
   leaving.state.apply(common::LogIndex(++leaving.index),
                       ownership::MarkLeaving{leaving.first, true});
@@ -111,16 +112,16 @@
   CHECK(leaving.log.take_moving().at(0).cause == MoveCause::kLeaving);
 }
 
-TEST_CASE("a move that the state ignored is not told, nor a gap that this leader did not see") {
+TEST_CASE("moves that the state ignored and gaps begun under a former leader are not logged") {
   Keys keys;
   keys.move(0, kLower, common::Epoch(999));
   CHECK(keys.log.take_moving().empty());
   keys.move(0, kLower, keys.fence(0));
   keys.log.begin_term();
   keys.assign(500, kLower, keys.second);
-  const auto given = keys.log.take_assigned();
-  REQUIRE(given.size() == 1);
-  CHECK_FALSE(given[0].without_owner.has_value());
+  const auto assigned = keys.log.take_assigned();
+  REQUIRE(assigned.size() == 1);
+  CHECK_FALSE(assigned[0].without_owner.has_value());
 }
 
 }  // namespace
