--- a/test/controller/fleet.hpp
+++ b/test/controller/fleet.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// Controllers and a large fleet of routers on links with a delay, driven millisecond by
-/// millisecond. For tests of what all of them together keep to.
+/// Controllers and a large fleet of routers, connected by links with latency and simulated in steps
+/// of one millisecond. For tests of time bounds that all of them together must keep.
 
 #include <doctest/doctest.h>
 
@@ -23,7 +23,8 @@
 inline constexpr std::size_t kReplicas = 3;
 inline constexpr std::size_t kRouters = 281;
 inline constexpr auto kLinkDelay = milliseconds(1);
-/// The shortest time promised for a change to be in force, or a leaving back end to be left alone.
+/// The shortest promised time until a change is in force, or until a leaving back end gets no more
+/// requests.
 inline constexpr auto kPromise = milliseconds(2000);
 
 inline TimePoint at(std::int64_t value) { return common::from_microseconds(value * 1000); }
@@ -73,7 +74,7 @@
       }
     }
   }
-  /// @return the controller that may answer, or nothing.
+  /// @return the controller that is serving as the leader, or nullopt.
   std::optional<std::size_t> leader() const {
     for (std::size_t i = 0; i < kReplicas; ++i) {
       if (i != cut_ && controllers_[i]->is_serving(now_)) {
@@ -82,17 +83,17 @@
     }
     return std::nullopt;
   }
-  /// New leaders know no router: their announcements reach nobody.
-  void lose_announcements() { hears_announcements_ = false; }
-  /// From now on nobody hears the controller, nor it anybody.
+  /// Drops all announcements of new leaders.
+  void lose_announcements() { delivers_announcements_ = false; }
+  /// Drops all messages from and to the controller from now on.
   void cut(std::size_t controller) { cut_ = controller; }
-  /// From now on words between this controller and the routers take that long each way; those
-  /// between controllers do not.
+  /// Delays messages between this controller and the routers by `delay` in each direction from now
+  /// on; those between controllers keep the usual latency.
   void delay_routers_of(std::size_t controller, Duration delay) {
     late_ = controller;
-    late_by_ = delay;
+    late_delay_ = delay;
   }
-  /// Has the leader take a change of the routes.
+  /// Submits a change of the routes to the leader.
   void change_routes(config::RouteChange change) {
     ControllerCore& core = *controllers_[leader().value()];
     core.change_routes(now_, core.new_request(), std::move(change));
@@ -100,13 +101,14 @@
   std::uint64_t routes_version() const {
     return controllers_[leader().value()]->state().routes().version;
   }
-  /// What all routers together do with a request for this host and path.
+  /// What all routers do with a request.
   struct Answers {
     std::size_t forwarded = 0;
-    std::size_t refused = 0;          ///< not run, with a time to come back
-    std::size_t final = 0;            ///< not run, and asking again makes no sense
-    std::set<std::string> instances;  ///< to which it was forwarded
+    std::size_t refused = 0;          ///< not run, may be retried
+    std::size_t final = 0;            ///< not run, must not be retried
+    std::set<std::string> instances;  ///< that the request was forwarded to
   };
+  /// Sends one request for this host and path to each router.
   Answers ask_all(const std::string& host, const std::string& path) {
     Answers answers;
     for (auto& router : routers_) {
@@ -129,32 +131,32 @@
     }
     return answers;
   }
-  /// Says to the leader that a back end is there, or that it leaves.
+  /// Sends the leader a heartbeat of a back end. @param draining the back end is leaving.
   void heartbeat(const std::string& name, std::uint64_t sequence, bool draining) {
     Heartbeat heartbeat;
     heartbeat.incarnation = common::Incarnation(name);
-    heartbeat.address = name + ":80";  // one address is one incarnation's at a time
+    heartbeat.address = name + ":80";  // unique: an address belongs to one incarnation at a time
     heartbeat.service = "s";
     heartbeat.sequence = sequence;
     heartbeat.draining = draining;
     ControllerCore& core = *controllers_[leader().value()];
     core.heartbeat(now_, core.new_request(), heartbeat);
   }
-  /// True where the leader has committed that the back end leaves.
+  /// True if the leader has committed that the back end is leaving.
   bool has_committed_leaving(const std::string& name) const {
     const auto* record =
         controllers_[leader().value()]->state().find_incarnation(common::Incarnation(name));
     return record != nullptr && record->leaving;
   }
-  /// Routers whose table knows the back end, and whether it leaves, as given.
-  std::size_t routers_that_know(const std::string& name, bool leaving) const {
-    const auto knows = [&](const auto& router) {
+  /// The number of routers whose table contains the back end with this leaving state.
+  std::size_t routers_with_backend(const std::string& name, bool leaving) const {
+    const auto has_backend = [&](const auto& router) {
       const auto& backends = router->table().backends();
       return std::any_of(backends.begin(), backends.end(), [&](const auto& item) {
         return item.second.incarnation.value == name && item.second.draining == leaving;
       });
     };
-    return static_cast<std::size_t>(std::count_if(routers_.begin(), routers_.end(), knows));
+    return static_cast<std::size_t>(std::count_if(routers_.begin(), routers_.end(), has_backend));
   }
 
  private:
@@ -163,20 +165,20 @@
     return at(1500) + milliseconds(8) * static_cast<std::int64_t>(router);
   }
   static std::string address_of(std::size_t controller) { return "c" + std::to_string(controller); }
-  void send(std::size_t controller, std::function<void()> take, Duration delay = kLinkDelay) {
+  void send(std::size_t controller, std::function<void()> receive, Duration delay = kLinkDelay) {
     if (controller != cut_) {
-      messages_.emplace(now_ + delay, std::move(take));
+      messages_.emplace(now_ + delay, std::move(receive));
     }
   }
-  /// Delay between a controller and the routers, each way.
-  Duration delay_of(std::size_t controller) const {
-    return controller == late_ ? late_by_ : Duration(kLinkDelay);
+  /// Latency between a controller and the routers, in each direction.
+  Duration router_latency(std::size_t controller) const {
+    return controller == late_ ? late_delay_ : Duration(kLinkDelay);
   }
   void deliver() {
     while (!messages_.empty() && messages_.begin()->first <= now_) {
-      const std::function<void()> take = std::move(messages_.begin()->second);
+      const std::function<void()> receive = std::move(messages_.begin()->second);
       messages_.erase(messages_.begin());
-      take();
+      receive();
     }
   }
   void carry_out(std::size_t from) {
@@ -192,37 +194,37 @@
     }
     if (output.heartbeat_report.has_value() && from != cut_ && leader().has_value()) {
       const std::size_t to = *leader();
-      send(to, [this, to, heard = *output.heartbeat_report] {
-        controllers_[to]->on_heartbeat_report(now_, heard);
+      send(to, [this, to, report = *output.heartbeat_report] {
+        controllers_[to]->on_heartbeat_report(now_, report);
       });
     }
     for (const OutgoingTable& table : output.tables) {
-      const std::size_t router = number_of(table.router);
+      const std::size_t router = index_of(table.router);
       send(
           from,
           [this, router, from, update = table.update] {
             routers_[router]->on_table_update(now_, update, address_of(from));
           },
-          delay_of(from));
+          router_latency(from));
     }
-    if (output.announcement.has_value() && hears_announcements_) {
+    if (output.announcement.has_value() && delivers_announcements_) {
       for (std::size_t router = 0; router < kRouters; ++router) {
         send(
             from,
             [this, router, list = *output.announcement] {
               routers_[router]->on_controller_list(now_, list);
             },
-            delay_of(from));
+            router_latency(from));
       }
     }
     for (const OutgoingControllers& controllers : output.controllers) {
-      const std::size_t router = number_of(controllers.router);
+      const std::size_t router = index_of(controllers.router);
       send(
           from,
           [this, router, list = controllers.list] {
             routers_[router]->on_controller_list(now_, list);
           },
-          delay_of(from));
+          router_latency(from));
     }
   }
   void send_hello(std::size_t from) {
@@ -231,30 +233,30 @@
       return;
     }
     for (std::size_t to = 0; to < kReplicas; ++to) {
-      const bool is_meant =
+      const bool is_addressed =
           output.hello_to_all || std::find(output.hello_to.begin(), output.hello_to.end(),
                                            address_of(to)) != output.hello_to.end();
-      if (is_meant) {
+      if (is_addressed) {
         send(
             to,
             [this, to, hello = *output.hello] { controllers_[to]->on_router_hello(now_, hello); },
-            delay_of(to));
+            router_latency(to));
       }
     }
   }
-  static std::size_t number_of(const common::RouterName& name) {
+  static std::size_t index_of(const common::RouterName& name) {
     return static_cast<std::size_t>(std::stoul(name.value.substr(1)));
   }
 
   TimePoint now_ = at(1000);
   router::RequestHandle next_handle_ = 1;
-  bool hears_announcements_ = true;
+  bool delivers_announcements_ = true;
   std::optional<std::size_t> cut_;
   std::vector<std::unique_ptr<ControllerCore>> controllers_;
   std::vector<std::unique_ptr<router::RouterCore>> routers_;
   std::optional<std::size_t> late_;
-  Duration late_by_{0};
-  std::multimap<TimePoint, std::function<void()>> messages_;  ///< by when they arrive
+  Duration late_delay_{0};
+  std::multimap<TimePoint, std::function<void()>> messages_;  ///< by arrival time
 };
 
 }  // namespace planktray::controller::testing
--- a/test/controller/late_leader_test.cpp
+++ b/test/controller/late_leader_test.cpp
@@ -1,18 +1,11 @@
-/// Old tables at routers that are in touch.
+/// Guards against routers that decide with stale tables while they are connected to controllers.
 ///
-/// Seen with 281 routers, as processes of their own: routes that had been acknowledged were refused
-/// as unknown for longer than the promised 2.5 s, thousands of times, and requests reached back
-/// ends that had been acknowledged as leaving 2.5 s and more before. Seen again on a plain day: one
-/// leader throughout, every router getting updates all the time.
-///
-/// How it came about: what is acknowledged is committed, and that routers use it in time was left
-/// to the pace of one process. A router decided with the table that it had, however old, also where
-/// the decision was final ("no such route"). The leader's pace fell when a service was released:
-/// followers passed every heartbeat with news on to it, and its answer drew all later heartbeats of
-/// that back end to it. Of 225 hellos a second it then read 27.
-///
-/// What proved it: the age of a router's table at each of its decisions, and the leader's counters
-/// by second. Each of the tests here takes one of these ways by itself.
+/// With 281 routers and an overloaded leader, acknowledged routes were refused as unknown, and
+/// requests reached leaving back ends, for longer than the promised 2.5 s after the
+/// acknowledgement. Routers used their table whatever its age, also for final refusals ("no such
+/// route"). The leader was overloaded while a service was rolled out: followers redirected every
+/// heartbeat with an update to it, and its answers kept the later heartbeats of those back ends, so
+/// it read 27 of 225 hellos per second. Each test covers one of these causes.
 
 #include <doctest/doctest.h>
 
@@ -46,7 +39,8 @@
   return route;
 }
 
-TEST_CASE("what a leader acknowledges whose words reach routers seconds late is in force in time") {
+TEST_CASE(
+    "changes are in force in time although the leader's messages reach routers seconds late") {
   Fleet fleet;
   fleet.run_for(milliseconds(3000));
   REQUIRE(fleet.leader().has_value());
@@ -80,7 +74,7 @@
   CHECK_FALSE(fleet.ask_all("example", "/old/a").instances.contains("leaving"));
 }
 
-/// A router with one route, and what its controllers say to it.
+/// A router with one route, and the messages of its controllers.
 struct LateRouter {
   router::RouterCore core{options(), common::RandomEngine(1), at(0)};
   router::RequestHandle next_handle = 1;
@@ -116,12 +110,13 @@
     update.deltas = {table};
     core.on_table_update(at(1), update, "leader");
   }
-  /// Time passes. @param hears_follower a follower says every 100 ms who leads, and brings nothing.
-  void run(std::int64_t from, std::int64_t to, bool hears_follower) {
+  /// Advances the time. @param receives_list a follower sends a list of controllers with the leader
+  ///   every 100 ms, but no table.
+  void run(std::int64_t from, std::int64_t to, bool receives_list) {
     for (std::int64_t now = from; now <= to; now += 10) {
       core.tick(at(now));
       (void)core.take_output();
-      if (hears_follower && now % 100 == 0) {
+      if (receives_list && now % 100 == 0) {
         core.on_controller_list(at(now), {common::CellName(), {}, common::Term(1), "leader"});
       }
     }
@@ -137,7 +132,7 @@
   }
 };
 
-TEST_CASE("a router that is told of a leader but not of its table refuses what it cannot know") {
+TEST_CASE("a router that learns the leader but gets no table refuses requests as retryable") {
   LateRouter router;
   router.run(10, 3000, true);
   for (const std::string path : {"/old/a", "/new/a"}) {
@@ -151,7 +146,8 @@
   }
 }
 
-TEST_CASE("a router that nobody answers serves by its last table and calls no route unknown") {
+TEST_CASE(
+    "a router without any controller serves by its last table and refuses no route as unknown") {
   LateRouter router;
   router.run(10, 6000, false);
   CHECK(router.ask(6001, "/old/a").forwards.size() == 1);
