--- a/test/controller/order_sender_test.cpp
+++ b/test/controller/order_sender_test.cpp
@@ -18,9 +18,9 @@
 using std::chrono::milliseconds;
 
 constexpr const char* kAddress = "127.0.0.1:47322";
-constexpr const char* kNobodyListens = "127.0.0.1:1";
+constexpr const char* kClosedAddress = "127.0.0.1:1";
 
-/// Orders as plain requests, answers by their status alone.
+/// Sends orders as plain requests and reads only the status of answers.
 class PlainInterface : public ControlInterface {
  public:
   void handle(const transport::ExchangePointer& /*exchange*/) override {}
@@ -41,10 +41,10 @@
 
  private:
   static transport::HttpRequest request(const std::string& target) {
-    transport::HttpRequest made;
-    made.method = "POST";
-    made.target = target;
-    return made;
+    transport::HttpRequest request;
+    request.method = "POST";
+    request.target = target;
+    return request;
   }
 };
 
@@ -53,15 +53,15 @@
   OrderOutcome end = OrderOutcome::kUnanswered;
 };
 
-/// A sender, a back end that answers after a while, and what has ended in order.
+/// A sender, a back end that answers with a delay, and the ended orders in sequence.
 struct Fixture {
   transport::EventLoop loop;
   PlainInterface interface;
   std::vector<Ended> ended;
   std::size_t wanted = 0;
-  std::vector<std::string> seen;
-  std::size_t under_way = 0;
-  std::size_t most_under_way = 0;
+  std::vector<std::string> requested_paths;
+  std::size_t in_flight = 0;
+  std::size_t max_in_flight = 0;
   bool answers = true;
   std::vector<transport::ExchangePointer> unanswered;
   std::unique_ptr<transport::HttpServer> server;
@@ -81,20 +81,20 @@
   }
 
   std::string listen() {
-    auto made = transport::HttpServer::listen(
+    auto listening = transport::HttpServer::listen(
         kAddress, {}, [this](const transport::ExchangePointer& exchange) { take(exchange); });
-    REQUIRE(made.has_value());
-    server = std::move(*made);
+    REQUIRE(listening.has_value());
+    server = std::move(*listening);
     return kAddress;
   }
   void take(const transport::ExchangePointer& exchange) {
-    seen.push_back(exchange->path());
-    most_under_way = std::max(most_under_way, ++under_way);
+    requested_paths.push_back(exchange->path());
+    max_in_flight = std::max(max_in_flight, ++in_flight);
     if (!answers) {
       unanswered.push_back(exchange);
     } else {
       loop.after(milliseconds(5), [this, exchange] {
-        --under_way;
+        --in_flight;
         exchange->respond(200, {}, "");
       });
     }
@@ -112,22 +112,23 @@
   }
 };
 
-TEST_CASE("grants of one back end go one after the other, in order") {
+TEST_CASE("grants to one back end are sent one after the other, in order") {
   Fixture fixture;
   const std::string address = fixture.listen();
   for (ownership::OrderId id = 1; id <= 4; ++id) {
     fixture.sender->send(Fixture::grant(id, address));
   }
   fixture.run_until(4);
-  CHECK(fixture.seen == std::vector<std::string>{"/grant/1", "/grant/2", "/grant/3", "/grant/4"});
-  CHECK(fixture.most_under_way == 1);
+  CHECK(fixture.requested_paths ==
+        std::vector<std::string>{"/grant/1", "/grant/2", "/grant/3", "/grant/4"});
+  CHECK(fixture.max_in_flight == 1);
   for (std::size_t i = 0; i < fixture.ended.size(); ++i) {
     CHECK(fixture.ended[i].id == i + 1);
     CHECK(fixture.ended[i].end == OrderOutcome::kAccepted);
   }
 }
 
-TEST_CASE("behind a grant without an answer the others are not sent") {
+TEST_CASE("grants that wait for an unanswered grant are not sent") {
   Fixture fixture;
   const std::string address = fixture.listen();
   fixture.answers = false;
@@ -135,13 +136,13 @@
     fixture.sender->send(Fixture::grant(id, address));
   }
   fixture.run_until(3);
-  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.requested_paths.size() == 1);
   CHECK(fixture.ended[0].end == OrderOutcome::kUnanswered);
   CHECK(fixture.ended[1].end == OrderOutcome::kNotSent);
   CHECK(fixture.ended[2].end == OrderOutcome::kNotSent);
 }
 
-TEST_CASE("a release is not held up by a grant that waits") {
+TEST_CASE("a release does not wait for an unanswered grant") {
   Fixture fixture;
   const std::string address = fixture.listen();
   fixture.answers = false;
@@ -152,14 +153,14 @@
   release.address = address;
   fixture.sender->send(release);
   fixture.run_until(1);
-  CHECK(fixture.seen.size() == 2);
+  CHECK(fixture.requested_paths.size() == 2);
 }
 
-/// Seen with 385 owners of keys: 45 of them said that they leave, the leader asked for all their
-/// ranges at once, and 481 releases ended with "no connection is free": each takes a connection of
-/// its own until what runs on its keys has ended. The first accepted release of an owner came 1.4
-/// to 2.4 s later, or never, and its keys lay without an owner.
-TEST_CASE("an owner of many ranges that leaves is asked for all of them") {
+// Guards against releases that fail for want of a connection: each release occupies a connection
+// until the requests for its keys have ended. When 45 of 385 owners left at once, 481 releases
+// failed with "no connection is free". The first release of an owner was accepted 1.4 to 2.4 s
+// later or never, and its keys had no owner meanwhile.
+TEST_CASE("all ranges of a leaving owner can be released at once") {
   Fixture fixture;
   const std::string address = fixture.listen();
   constexpr ownership::OrderId kRanges = 40;
@@ -177,9 +178,9 @@
   CHECK(failed == 0);
 }
 
-TEST_CASE("an order to an address where nobody listens is known not to have been sent") {
+TEST_CASE("an order to a closed address ends as not sent") {
   Fixture fixture;
-  fixture.sender->send(Fixture::grant(1, kNobodyListens));
+  fixture.sender->send(Fixture::grant(1, kClosedAddress));
   fixture.run_until(1);
   CHECK(fixture.ended[0].end == OrderOutcome::kNotSent);
 }
--- a/test/controller/promises_test.cpp
+++ b/test/controller/promises_test.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-ControllerOptions deployed(const PromisedTimes& promised) {
+ControllerOptions options_for(const PromisedTimes& promised) {
   ControllerOptions options;
   options.raft.minimum_election_timeout = milliseconds(300);
   options.distributor.longest_hello_interval = longest_hello_interval(
@@ -22,39 +22,39 @@
                      [](const Promise& promise) { return promise.holds(); });
 }
 
-TEST_CASE("settings keep what is promised for a change, from a few routers to a thousand") {
+TEST_CASE("settings keep the promised time of a change with up to a thousand routers") {
   for (const auto promise : {milliseconds(2000), milliseconds(2500)}) {
     const PromisedTimes promised{promise, promise, milliseconds(10'000)};
-    const ControllerOptions options = deployed(promised);
+    const ControllerOptions options = options_for(promised);
     for (const std::size_t routers : {0, 11, 74, 281, 1000}) {
       CHECK(all_hold(check_promises(promised, options, routers)));
     }
   }
 }
 
-TEST_CASE("a fleet too large for the settings is told, with what it is made of") {
+TEST_CASE("a fleet too large for the settings is reported, with the reason") {
   const PromisedTimes promised{milliseconds(2000), milliseconds(2500), milliseconds(10'000)};
-  const auto promises = check_promises(promised, deployed(promised), 10'000);
+  const auto promises = check_promises(promised, options_for(promised), 10'000);
   CHECK_FALSE(promises[0].holds());
   CHECK(promises[0].worst_case > promises[0].promised);
   CHECK_FALSE(promises[0].reason.empty());
 }
 
-TEST_CASE("hellos that grow apart with the fleet break a promise that does not grow") {
+TEST_CASE("a hello interval that grows with the fleet breaks a fixed promise") {
   const PromisedTimes promised{milliseconds(2500), milliseconds(2500), milliseconds(10'000)};
-  ControllerOptions options = deployed(promised);
+  ControllerOptions options = options_for(promised);
   options.distributor.longest_hello_interval = milliseconds(60'000);
   CHECK(all_hold(check_promises(promised, options, 74)));
   CHECK_FALSE(all_hold(check_promises(promised, options, 281)));
 }
 
-TEST_CASE("a hold above what back ends take is told") {
+TEST_CASE("a hold time above the limit of back ends is reported") {
   const PromisedTimes promised{milliseconds(2000), milliseconds(2000), milliseconds(4000)};
-  const auto promises = check_promises(promised, deployed(promised), 0);
+  const auto promises = check_promises(promised, options_for(promised), 0);
   CHECK_FALSE(promises[2].holds());
 }
 
-TEST_CASE("where nothing is promised, nothing is at risk") {
+TEST_CASE("without promised times, no promise is broken") {
   CHECK(all_hold(check_promises(PromisedTimes(), ControllerOptions(), 100'000)));
 }
 
