--- a/src/ownership/commands.hpp
+++ b/src/ownership/commands.hpp
@@ -75,6 +75,7 @@
   MSGPACK_DEFINE_ARRAY(backend, leaving, departed, ended, incarnation)
 };
 
+/// Sets the targets of a service.
 struct TargetSet {
   ServiceId service;
   std::vector<BackendId> targets;
--- a/src/ownership/key_ranges.hpp
+++ b/src/ownership/key_ranges.hpp
@@ -4,7 +4,7 @@
 /// Invariants:
 ///  - The ranges cover all keys and do not overlap: a key has one record and at most one owner.
 ///  - The fence of a key is the index of the log entry that assigned it to its owner; it only
-///  grows.
+///    grows.
 ///  - Adjacent ranges that differ in their keys only are merged into one.
 
 #include <cstdint>
--- a/src/ownership/lease_manager.hpp
+++ b/src/ownership/lease_manager.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// The leader's side of lease sessions (after Gray and Cheriton, 1989, with the expiry fixed in the
+/// The leader's side of lease sessions (after Gray and Cheriton, 1989, with an expiry on the
 /// holder's clock).
 ///
 /// Invariants:
@@ -97,7 +97,7 @@
   std::vector<NewIncarnation> take_new_incarnations();
   /// Returns the state that the back end last reported; kCold before its first reply.
   BackendState backend_state(BackendId backend) const;
-  /// Returns the time of the last acknowledgement that had a newer clock than all before.
+  /// Returns when the last acknowledgement with a newer clock reading arrived, if there is one.
   std::optional<TimePoint> last_answer(BackendId backend) const;
   std::size_t sessions() const { return sessions_.size(); }
 
--- a/src/ownership/lease_messages.hpp
+++ b/src/ownership/lease_messages.hpp
@@ -32,12 +32,14 @@
 
 enum class BackendState : std::uint8_t { kCold, kReady, kDraining };
 
+/// Requests at a back end.
 struct BackendLoad {
   std::uint32_t running = 0;
   std::uint32_t slots = 0;
   std::uint32_t queued = 0;
 };
 
+/// Reply to a LeaseRequest.
 struct LeaseReply {
   LeaseStatus status = LeaseStatus::kAccepted;
   common::Incarnation incarnation;
@@ -65,10 +67,11 @@
   std::uint32_t wait_ms = 0;
 };
 
+/// Reply to a ReleaseRequest.
 struct ReleaseReply {
   bool accepted = false;  ///< false: stale term or wrong incarnation
   std::vector<HeldShard> released;
-  std::vector<HeldShard> running;
+  std::vector<HeldShard> running;  ///< shards with requests that have not ended
 };
 
 }  // namespace planktray::ownership
