--- a/src/ownership/planner.cpp
+++ b/src/ownership/planner.cpp
@@ -110,7 +110,7 @@
   std::vector<BackendId> targets;
   std::map<common::ZoneName, std::uint32_t> per_zone;
   std::set<common::MachineName> machines;
-  const auto take = [&](const BackendRecord& backend) {
+  const auto add_target = [&](const BackendRecord& backend) {
     targets.push_back(backend.id);
     ++per_zone[backend.zone];
     machines.insert(backend.machine);
@@ -121,7 +121,7 @@
   for (const BackendId id : service.targets) {
     const BackendRecord* backend = input.state.find_backend(id);
     if (backend != nullptr && eligible(*backend) && targets.size() < service.config.targets) {
-      take(*backend);
+      add_target(*backend);
     }
   }
   while (targets.size() < service.config.targets) {
@@ -137,7 +137,7 @@
     if (best == nullptr) {
       break;
     }
-    take(*best);
+    add_target(*best);
   }
   return targets;
 }
