--- a/src/ownership/cell_state_declarations.cpp
+++ b/src/ownership/cell_state_declarations.cpp
@@ -105,14 +105,14 @@
       return tl::unexpected(parsed.error());
     }
     return parsed->name.value == change.name ? validate_template(*parsed)
-                                             : invalid("template names another template");
+                                             : invalid("the document names another template");
   }
   const auto parsed = config::parse_tenant(change.document);
   if (!parsed) {
     return tl::unexpected(parsed.error());
   }
   if (parsed->name.value != change.name) {
-    return invalid("tenant names another tenant");
+    return invalid("the document names another tenant");
   }
   const auto declaration = find_template(parsed->template_name.value);
   if (!declaration.has_value()) {
