--- a/test/ownership/grant_manager_reports_test.cpp
+++ b/test/ownership/grant_manager_reports_test.cpp
@@ -83,128 +83,128 @@
 };
 
 TEST_CASE("a response lists all grants of a back end, and no orders are sent to it") {
-  Fixture cell;
-  const GrantedHoldings answer = cell.heartbeat_with_all_keys(10);
+  Fixture fixture;
+  const GrantedHoldings answer = fixture.heartbeat_with_all_keys(10);
   REQUIRE(answer.ranges.size() == 1);
   CHECK(answer.ranges[0].keys == kAll);
-  CHECK(answer.ranges[0].fence == cell.record().fence);
-  CHECK(answer.hold_time == cell.options.reported_hold_time);
-  CHECK(cell.answer(11, cell.y).ranges.empty());
+  CHECK(answer.ranges[0].fence == fixture.record().fence);
+  CHECK(answer.hold_time == fixture.options.reported_hold_time);
+  CHECK(fixture.answer(11, fixture.y).ranges.empty());
   std::vector<GrantOrder> grants;
   std::vector<ReleaseOrder> releases;
-  cell.manager.collect(at(20), cell.state, grants, releases);
+  fixture.manager.collect(at(20), fixture.state, grants, releases);
   CHECK(grants.empty());
   CHECK(releases.empty());
 }
 
 TEST_CASE("keys pass on with their handover once a heartbeat no longer lists them") {
-  Fixture cell;
-  cell.heartbeat_with_all_keys(kSettled);
-  cell.begin_move(kLow);
-  const Epoch fence = cell.record(5000).fence;
-  CHECK(cell.manager.holders_to_notify(at(kSettled + 1)).empty());
-  cell.report(kSettled + 20, cell.x, {{{kAll, fence}}, {}});
-  CHECK(cell.manager.holders_to_notify(at(kSettled + 40)) == std::set<BackendId>{cell.x});
-  const GrantedHoldings answer = cell.answer(kSettled + 40, cell.x);
+  Fixture fixture;
+  fixture.heartbeat_with_all_keys(kSettled);
+  fixture.begin_move(kLow);
+  const Epoch fence = fixture.record(5000).fence;
+  CHECK(fixture.manager.holders_to_notify(at(kSettled + 1)).empty());
+  fixture.report(kSettled + 20, fixture.x, {{{kAll, fence}}, {}});
+  CHECK(fixture.manager.holders_to_notify(at(kSettled + 40)) == std::set<BackendId>{fixture.x});
+  const GrantedHoldings answer = fixture.answer(kSettled + 40, fixture.x);
   REQUIRE(answer.ranges.size() == 1);
   CHECK(answer.ranges[0].keys == KeyRange{1000, kAll.last});
-  CHECK_FALSE(cell.may_assign(kSettled + 50).free);
+  CHECK_FALSE(fixture.may_assign(kSettled + 50).free);
   // Requests for these keys are still running, then they have ended.
-  cell.report(kSettled + 60, cell.x, {{{kAll, fence}}, {}});
-  CHECK_FALSE(cell.may_assign(kSettled + 61).free);
-  cell.report(kSettled + 90, cell.x, {{{{1000, kAll.last}, fence}}, {{kLow, "handover"}}});
-  CHECK(cell.may_assign(kSettled + 91).free);
-  CHECK(cell.may_assign(kSettled + 91).handover == "handover");
-  cell.assign(kLow, cell.y, "handover");
-  const GrantedHoldings granted = cell.answer(kSettled + 100, cell.y);
+  fixture.report(kSettled + 60, fixture.x, {{{kAll, fence}}, {}});
+  CHECK_FALSE(fixture.may_assign(kSettled + 61).free);
+  fixture.report(kSettled + 90, fixture.x, {{{{1000, kAll.last}, fence}}, {{kLow, "handover"}}});
+  CHECK(fixture.may_assign(kSettled + 91).free);
+  CHECK(fixture.may_assign(kSettled + 91).handover == "handover");
+  fixture.assign(kLow, fixture.y, "handover");
+  const GrantedHoldings granted = fixture.answer(kSettled + 100, fixture.y);
   REQUIRE(granted.ranges.size() == 1);
   CHECK(granted.ranges[0].handover == "handover");
 }
 
 TEST_CASE("if the report of a release is lost, the next heartbeat without the keys frees them") {
-  Fixture cell;
-  cell.heartbeat_with_all_keys(kSettled);
-  cell.begin_move(kAll);
-  cell.answer(kSettled + 40, cell.x);
-  cell.report(kSettled + 900, cell.x, {});
-  CHECK(cell.may_assign(kSettled + 901).free);
-  CHECK(cell.may_assign(kSettled + 901).handover.empty());
+  Fixture fixture;
+  fixture.heartbeat_with_all_keys(kSettled);
+  fixture.begin_move(kAll);
+  fixture.answer(kSettled + 40, fixture.x);
+  fixture.report(kSettled + 900, fixture.x, {});
+  CHECK(fixture.may_assign(kSettled + 901).free);
+  CHECK(fixture.may_assign(kSettled + 901).handover.empty());
 }
 
 TEST_CASE("an unresponsive holder loses its keys when its hold time has expired") {
-  Fixture cell;
-  cell.heartbeat_with_all_keys(kSettled);
-  cell.begin_move(kAll);
-  CHECK_FALSE(cell.may_assign(kSettled + 2610).free);
-  CHECK_FALSE(cell.may_assign(kSettled + 2690).free);  // its clock may be slow
-  CHECK(cell.may_assign(kSettled + 2700).free);
+  Fixture fixture;
+  fixture.heartbeat_with_all_keys(kSettled);
+  fixture.begin_move(kAll);
+  CHECK_FALSE(fixture.may_assign(kSettled + 2610).free);
+  CHECK_FALSE(fixture.may_assign(kSettled + 2690).free);  // its clock may be slow
+  CHECK(fixture.may_assign(kSettled + 2700).free);
 }
 
 TEST_CASE("the hold time counts from the arrival of the heartbeat, even if its response is late") {
-  Fixture cell;
-  cell.report(kSettled, cell.x, {{{kAll, cell.record().fence}}, {}});
-  cell.manager.answer_heartbeat(at(kSettled + 500), at(kSettled), cell.state, cell.x);
-  cell.begin_move(kAll);
-  CHECK(cell.may_assign(kSettled + 2700).free);
+  Fixture fixture;
+  fixture.report(kSettled, fixture.x, {{{kAll, fixture.record().fence}}, {}});
+  fixture.manager.answer_heartbeat(at(kSettled + 500), at(kSettled), fixture.state, fixture.x);
+  fixture.begin_move(kAll);
+  CHECK(fixture.may_assign(kSettled + 2700).free);
 }
 
 TEST_CASE("heartbeats prove nothing about the responses of an earlier leader") {
-  Fixture cell;
-  cell.begin_move(kAll);
-  cell.report(100, cell.x, {});
-  CHECK_FALSE(cell.may_assign(101).free);
-  cell.report(kSettled, cell.x, {});
-  CHECK(cell.may_assign(kSettled + 1).free);
+  Fixture fixture;
+  fixture.begin_move(kAll);
+  fixture.report(100, fixture.x, {});
+  CHECK_FALSE(fixture.may_assign(101).free);
+  fixture.report(kSettled, fixture.x, {});
+  CHECK(fixture.may_assign(kSettled + 1).free);
 }
 
 TEST_CASE("keys that no response has granted yet are free immediately") {
-  Fixture cell;
-  cell.heartbeat_with_all_keys(kSettled);
-  cell.begin_move(kAll);
-  cell.answer(kSettled + 40, cell.x);
-  cell.report(kSettled + 50, cell.x, {});
-  cell.assign(kAll, cell.y, "");
-  CHECK(cell.manager.withdrawals(at(kSettled + 60), cell.state).empty());
-  cell.begin_move(kAll);
-  cell.answer(kSettled + 70, cell.x);
-  CHECK_FALSE(cell.manager.holders_to_notify(at(kSettled + 80)).contains(cell.y));
-  CHECK(cell.may_assign(kSettled + 80).free);
+  Fixture fixture;
+  fixture.heartbeat_with_all_keys(kSettled);
+  fixture.begin_move(kAll);
+  fixture.answer(kSettled + 40, fixture.x);
+  fixture.report(kSettled + 50, fixture.x, {});
+  fixture.assign(kAll, fixture.y, "");
+  CHECK(fixture.manager.withdrawals(at(kSettled + 60), fixture.state).empty());
+  fixture.begin_move(kAll);
+  fixture.answer(kSettled + 70, fixture.x);
+  CHECK_FALSE(fixture.manager.holders_to_notify(at(kSettled + 80)).contains(fixture.y));
+  CHECK(fixture.may_assign(kSettled + 80).free);
 }
 
 TEST_CASE("keys that are known to be free are not granted again while they have no new owner") {
-  Fixture cell;
-  cell.heartbeat_with_all_keys(kSettled);
-  cell.begin_move(kAll);
+  Fixture fixture;
+  fixture.heartbeat_with_all_keys(kSettled);
+  fixture.begin_move(kAll);
   // The response to the previous heartbeat was lost: this heartbeat lists no keys.
-  cell.report(kSettled + 1, cell.x, {});
-  CHECK(cell.may_assign(kSettled + 2).free);
-  CHECK(cell.answer(kSettled + 3, cell.x).ranges.empty());
+  fixture.report(kSettled + 1, fixture.x, {});
+  CHECK(fixture.may_assign(kSettled + 2).free);
+  CHECK(fixture.answer(kSettled + 3, fixture.x).ranges.empty());
 }
 
 TEST_CASE("keys whose grant the owner ignores are withdrawn") {
-  Fixture cell;
+  Fixture fixture;
   std::int64_t time = 100;
-  for (std::uint32_t i = 0; i <= cell.options.max_ignored_answers; ++i, time += 870) {
-    CHECK(cell.manager.withdrawals(at(time), cell.state).empty());
-    cell.report(time, cell.x, {});
-    cell.answer(time, cell.x);
+  for (std::uint32_t i = 0; i <= fixture.options.max_ignored_answers; ++i, time += 870) {
+    CHECK(fixture.manager.withdrawals(at(time), fixture.state).empty());
+    fixture.report(time, fixture.x, {});
+    fixture.answer(time, fixture.x);
   }
-  cell.report(time, cell.x, {});
-  CHECK(cell.manager.withdrawals(at(time), cell.state).size() == 1);
+  fixture.report(time, fixture.x, {});
+  CHECK(fixture.manager.withdrawals(at(time), fixture.state).size() == 1);
 }
 
 TEST_CASE("a new incarnation at the address frees the keys of its predecessor") {
-  Fixture cell;
-  cell.heartbeat_with_all_keys(kSettled);
-  cell.begin_move(kAll);
+  Fixture fixture;
+  fixture.heartbeat_with_all_keys(kSettled);
+  fixture.begin_move(kAll);
   RegisterBackend registration;
   registration.machine = common::MachineName("x2");
   registration.address = "x:1";
   registration.pool = common::PoolName("album");
   registration.incarnation = common::Incarnation("x2");
   registration.contract = static_cast<std::uint8_t>(OwnershipContract::kReportedGrant);
-  cell.apply(registration);
-  CHECK(cell.may_assign(kSettled + 10).free);
+  fixture.apply(registration);
+  CHECK(fixture.may_assign(kSettled + 10).free);
 }
 
 }  // namespace
--- a/test/ownership/range_planner_test.cpp
+++ b/test/ownership/range_planner_test.cpp
@@ -157,7 +157,8 @@
 }
 
 // Guards against moves that react to noise: when a leader has just started to observe loads, each
-// key has at most one request, and dozens of single keys moved, each without an owner for a while.
+// key has at most one request. Moves for these would leave dozens of keys without an owner for a
+// while.
 TEST_CASE("keys with one request each are not moved") {
   Fixture fixture(8);
   fixture.settle(false);
@@ -309,24 +310,26 @@
 
 TEST_CASE(
     "balancing moves keys only off owners that can be notified, but leaving owners are drained") {
-  Fixture cell(4);
-  cell.settle(false);
-  const BackendId owner = cell.ranges().begin()->second.owner;
-  const std::uint32_t first = cell.ranges().begin()->first;
+  Fixture fixture(4);
+  fixture.settle(false);
+  const BackendId owner = fixture.ranges().begin()->second.owner;
+  const std::uint32_t first = fixture.ranges().begin()->first;
   for (int i = 0; i < 10; ++i) {
-    cell.report(first, first + 40, 30);
-    cell.fold();
+    fixture.report(first, first + 40, 30);
+    fixture.fold();
   }
-  cell.unnotifiable = {owner};
-  for (const RangeMove& move : cell.plan(true).moves) {
-    CHECK(cell.state.routed_services().at(cell.service).ranges.record_of(move.keys.first).owner !=
-          owner);
+  fixture.unnotifiable = {owner};
+  for (const RangeMove& move : fixture.plan(true).moves) {
+    CHECK(fixture.state.routed_services()
+              .at(fixture.service)
+              .ranges.record_of(move.keys.first)
+              .owner != owner);
   }
-  cell.apply(MarkLeaving{owner, true, false});
-  CHECK_FALSE(cell.plan(false).moves.empty());
-  cell.apply(MarkLeaving{owner, false, false});
-  cell.unnotifiable.clear();
-  CHECK_FALSE(cell.plan(true).moves.empty());
+  fixture.apply(MarkLeaving{owner, true, false});
+  CHECK_FALSE(fixture.plan(false).moves.empty());
+  fixture.apply(MarkLeaving{owner, false, false});
+  fixture.unnotifiable.clear();
+  CHECK_FALSE(fixture.plan(true).moves.empty());
 }
 
 /// Assigns a quarter of the keys to each of four owners, with evenly distributed load.
--- a/test/ownership/target_times_test.cpp
+++ b/test/ownership/target_times_test.cpp
@@ -48,7 +48,7 @@
   CHECK(times.capacities(pool.state).of(pool.backends[0]) < 0.5);
 }
 
-TEST_CASE("the first requests count alike, whatever their order") {
+TEST_CASE("the first requests have equal weight, regardless of their order") {
   const Pool pool(2);
   TargetTimes times(0.04);
   times.add({{pool.backends[0], 750'000, 1}, {pool.backends[1], 250'000, 12}});
