--- a/test/platform/request_dialect_test.cpp
+++ b/test/platform/request_dialect_test.cpp
@@ -1,4 +1,4 @@
-/// The platform's requests and answers, over real connections where they need one.
+/// The platform's requests and answers; some tests use real connections.
 
 #include "platform/request_dialect.hpp"
 
@@ -36,7 +36,7 @@
   return PlatformDialect().classify({}, {}, given).end;
 }
 
-TEST_CASE("only the words of a target say that it did not run a request") {
+TEST_CASE("only headers of a target prove that it did not run a request") {
   const transport::HeaderList not_executed = {{kNotExecutedHeader, "1"}};
   const transport::HeaderList sealed = {{kSealHeader, "seal"}};
   CHECK(end_of(response(200, sealed)) == AttemptEnd::kAnswered);
@@ -45,7 +45,7 @@
   CHECK(end_of(response(503, not_executed)) == AttemptEnd::kRefused);
   CHECK(end_of(response(429, not_executed)) == AttemptEnd::kRefused);
   CHECK(end_of(response(421, {})) == AttemptEnd::kRefused);
-  // Promises that the target has not made, and successes that are not its own.
+  // Guarantees that the target has not given, and successes that are not its own.
   for (const unsigned status : {408U, 429U, 503U}) {
     CHECK(end_of(response(status, sealed)) == AttemptEnd::kForeign);
   }
@@ -59,14 +59,14 @@
   CHECK(end_of(broken) == AttemptEnd::kNotSent);
 }
 
-TEST_CASE("a misdirected request tells an owner that has changed from another instance") {
+TEST_CASE("the mark of a 421 distinguishes a changed owner from another instance") {
   const PlatformDialect dialect;
   CHECK(dialect.classify({}, {}, response(421, {{kNotExecutedHeader, "1"}})).refusal ==
         Refusal::kNotOwner);
   CHECK(dialect.classify({}, {}, response(421, {})).refusal == Refusal::kWrongIncarnation);
 }
 
-TEST_CASE("who answers with 421 tells an ended back end from one that does not hold the key") {
+TEST_CASE("the instance in a 421 distinguishes an ended back end from one without the key") {
   const PlatformDialect dialect;
   const auto refusal = [&](const std::string& answered_by) {
     const HttpResponse given =
@@ -77,7 +77,7 @@
   CHECK(refusal("i-2") == Refusal::kWrongIncarnation);
 }
 
-TEST_CASE("what a target says in words that nobody reads is handed on to be told") {
+TEST_CASE("unrecognized headers of a target are reported") {
   const PlatformDialect dialect;
   const auto result = dialect.classify({}, {},
                                        response(200, {{kSealHeader, "s"},
@@ -91,9 +91,9 @@
   CHECK(result.unrecognized_headers[1].name == "Server-Mood");
 }
 
-// Guards against a word that is looked for by its prefix: a time to stay away came under a name of
-// HTTP's own, and nothing told that nobody read it.
-TEST_CASE("words of a target that have no prefix are told as well, HTTP's own are not") {
+// Guards against a search for unrecognized headers by their prefix: a requested backoff in a
+// standard HTTP header was neither parsed nor reported.
+TEST_CASE("unrecognized headers without a prefix are reported, standard HTTP headers are not") {
   const PlatformDialect dialect;
   const auto result = dialect.classify({}, {},
                                        response(503, {{kNotExecutedHeader, "1"},
@@ -106,7 +106,7 @@
   CHECK(result.unrecognized_headers[0].name == "Please-Wait");
 }
 
-TEST_CASE("the load a target tells is read, and nothing else is taken for it") {
+TEST_CASE("a target's load is parsed, and invalid texts are not accepted as a load") {
   const PlatformDialect dialect;
   const auto load = [&](const char* text) {
     return dialect.classify({}, {}, response(200, {{kSealHeader, "s"}, {kLoadHeader, text}})).load;
@@ -122,9 +122,9 @@
   }
 }
 
-TEST_CASE("the limit a target names is read, and what cannot be read is told") {
+TEST_CASE("a target's limit is parsed, and invalid texts are reported") {
   const PlatformDialect dialect;
-  const auto judged = [&](transport::HeaderList headers) {
+  const auto classify = [&](transport::HeaderList headers) {
     headers.emplace_back(kSealHeader, "s");
     return dialect.classify({}, {}, response(200, headers));
   };
@@ -135,26 +135,26 @@
   for (const Readable& given :
        {Readable{"4.8", 4.8}, Readable{"0", 0.0}, Readable{"0.25", 0.25}, Readable{"1e12", 1e12}}) {
     CAPTURE(given.text);
-    const auto result = judged({{kLimitHeader, given.text}});
+    const auto result = classify({{kLimitHeader, given.text}});
     CHECK(result.limit.is_stated);
     CHECK(result.limit.per_second == given.value);
     CHECK(result.unrecognized_headers.empty());
   }
-  CHECK(judged({{"server-limit", "3"}}).limit.per_second == 3.0);
-  CHECK(judged({{kLimitHeader, "7"}, {kLimitHeader, "2"}}).limit.per_second == 2.0);
-  // A word that nobody can read neither sets a limit nor ends one.
+  CHECK(classify({{"server-limit", "3"}}).limit.per_second == 3.0);
+  CHECK(classify({{kLimitHeader, "7"}, {kLimitHeader, "2"}}).limit.per_second == 2.0);
+  // An invalid text neither sets nor removes a limit.
   for (const char* text : {"", "-1", "many", "nan", "inf", "4.8 a second", "1,5"}) {
     CAPTURE(text);
-    const auto result = judged({{kLimitHeader, text}});
+    const auto result = classify({{kLimitHeader, text}});
     CHECK_FALSE(result.limit.is_stated);
     REQUIRE(result.unrecognized_headers.size() == 1);
     CHECK(result.unrecognized_headers[0].value == text);
   }
-  CHECK(judged({}).limit.is_stated);
-  CHECK_FALSE(judged({}).limit.per_second.has_value());
+  CHECK(classify({}).limit.is_stated);
+  CHECK_FALSE(classify({}).limit.per_second.has_value());
 }
 
-TEST_CASE("only answers of the target itself say that it names no limit any more") {
+TEST_CASE("only answers of the target itself remove its limit") {
   const PlatformDialect dialect;
   const auto refused = dialect.classify({}, {}, response(503, {{kNotExecutedHeader, "1"}}));
   CHECK_FALSE(refused.limit.is_stated);
@@ -167,37 +167,37 @@
   const auto other = dialect.classify(
       {}, common::Incarnation("i-1"),
       response(421, {{kInstanceHeader, "i-2"}, {kNotExecutedHeader, "1"}, {kLimitHeader, "2"}}));
-  CHECK_FALSE(other.limit.is_stated);  // another process speaks of itself
+  CHECK_FALSE(other.limit.is_stated);  // the limit of another process
 }
 
-TEST_CASE("a load report that grew is used as far as it can be read, and said so") {
+TEST_CASE("the readable part of an extended load report is used, and the rest is reported") {
   const PlatformDialect dialect;
-  const auto judged = [&](const char* text) {
+  const auto classify = [&](const char* text) {
     return dialect.classify({}, {}, response(200, {{kSealHeader, "s"}, {kLoadHeader, text}}));
   };
-  const auto with_pace = judged("3,1,8,250");
-  REQUIRE(with_pace.load.has_value());
-  CHECK(with_pace.load->slots == 8);
-  CHECK(with_pace.load->work_time_percent == 250);
-  CHECK(with_pace.unparsed_load.empty());
+  const auto with_percent = classify("3,1,8,250");
+  REQUIRE(with_percent.load.has_value());
+  CHECK(with_percent.load->slots == 8);
+  CHECK(with_percent.load->work_time_percent == 250);
+  CHECK(with_percent.unparsed_load.empty());
   for (const char* text : {"3,1,8,250,7", "3,1,8,fast", "3,1,8,", "3,1,8,250,"}) {
     CAPTURE(text);
-    const auto grown = judged(text);
-    REQUIRE(grown.load.has_value());
-    CHECK(grown.load->running == 3);
-    CHECK(grown.load->waiting == 1);
-    CHECK(grown.load->slots == 8);
-    CHECK(grown.unparsed_load == text);
+    const auto extended = classify(text);
+    REQUIRE(extended.load.has_value());
+    CHECK(extended.load->running == 3);
+    CHECK(extended.load->waiting == 1);
+    CHECK(extended.load->slots == 8);
+    CHECK(extended.unparsed_load == text);
   }
   for (const char* text : {"3", "3,1", "a,b,c", "3,1,-8", ","}) {
     CAPTURE(text);
-    CHECK(judged(text).unparsed_load == text);
+    CHECK(classify(text).unparsed_load == text);
   }
-  CHECK(judged("").unparsed_load.empty());
-  CHECK(judged("3,1,8").unparsed_load.empty());
+  CHECK(classify("").unparsed_load.empty());
+  CHECK(classify("3,1,8").unparsed_load.empty());
 }
 
-/// Sends one request to a server whose handler sees it as the dialect does.
+/// Sends one request to a server with this handler and returns the response.
 HttpResponse exchange_one(transport::HttpRequest request,
                           const std::function<void(const transport::ExchangePointer&)>& handler) {
   auto server = transport::HttpServer::listen(kAddress, {}, handler);
@@ -215,7 +215,7 @@
 }
 
 TEST_CASE(
-    "a request keeps its method, path and headers, and names the instance and the time left") {
+    "a request keeps its method, path and headers, and states the instance and the time left") {
   const PlatformDialect dialect;
   transport::HttpRequest request;
   request.method = "PUT";
@@ -248,7 +248,7 @@
   CHECK(sent.answer_value == "id-1");
 }
 
-TEST_CASE("keys and deadlines that cannot be read are refused") {
+TEST_CASE("invalid keys and deadlines are refused") {
   const PlatformDialect dialect;
   const std::vector<transport::HeaderList::value_type> unreadable = {
       {kKeyHeader, "65536"}, {kKeyHeader, "a"}, {kDeadlineHeader, "soon"}, {kDeadlineHeader, "-1"}};
@@ -265,7 +265,7 @@
   }
 }
 
-TEST_CASE("each outcome has its status: what has not run comes with a time to come back") {
+TEST_CASE("each outcome has its status, and \"not run\" has a retry time") {
   const PlatformDialect dialect;
   const auto answered = [&](const router::Answer& answer) {
     return exchange_one({}, [&](const transport::ExchangePointer& exchange) {
@@ -288,7 +288,7 @@
   CHECK(answered(answer).status == 504);
 }
 
-TEST_CASE("orders to targets, and what their answers mean") {
+TEST_CASE("orders to targets are encoded and their answers classified") {
   controller::ControllerCore core({}, common::ReplicaId(1), {}, common::RandomEngine(1),
                                   common::TimePoint());
   const ControlApi api(core, [] {});
--- a/test/platform/reused_address_test.cpp
+++ b/test/platform/reused_address_test.cpp
@@ -1,5 +1,6 @@
-/// The incident of the retry budget (docs/incidents): a back end that owns keys ends, and its
-/// address passes to a back end of another service before routers have a newer table.
+/// A back end that owns keys ends, and its address is reused by a back end of another service
+/// before routers receive a newer table. If routers do not detect this, retries at this address
+/// use up the retry budget.
 
 #include <doctest/doctest.h>
 
@@ -19,11 +20,11 @@
 constexpr std::uint64_t kOwner = 7;
 const std::string kAddress = "10.1.64.57:8325";
 const common::Incarnation kEnded("i-ended");
-const common::Incarnation kNewcomer("i-newcomer");
+const common::Incarnation kReplacement("i-replacement");
 
 TimePoint at(std::int64_t value) { return TimePoint(milliseconds(1'000'000 + value)); }
 
-/// A table with one service divided by key, all of whose keys one back end owns.
+/// A table with one keyed service, all of whose keys are owned by one back end.
 routing::TableUpdate table_with_owner() {
   routing::TableDelta delta;
   delta.is_snapshot = true;
@@ -59,16 +60,16 @@
   return update;
 }
 
-/// What a back end answers to a request that names another incarnation, as seen on the wire.
+/// The answer of a back end to a request for another incarnation.
 transport::HttpResponse misdirected() {
   transport::HttpResponse response;
   response.status = kStatusMisdirected;
   response.was_sent = true;
-  response.headers = {{kNotExecutedHeader, "1"}, {kInstanceHeader, kNewcomer.value}};
+  response.headers = {{kNotExecutedHeader, "1"}, {kInstanceHeader, kReplacement.value}};
   return response;
 }
 
-/// A router beside the back end that has taken the address: it answers at once.
+/// A router and the back end that reuses the address, which answers immediately.
 class ReusedAddress {
  public:
   ReusedAddress() : core_(router::RouterOptions{}, common::RandomEngine(1), at(0)) {
@@ -76,7 +77,7 @@
     core_.take_output();
   }
 
-  void ask(std::int64_t when, std::uint32_t key) {
+  void send_request(std::int64_t when, std::uint32_t key) {
     router::CallerRequest request;
     request.handle = next_handle_++;
     request.method = "GET";
@@ -91,7 +92,7 @@
     answer_forwards(when);
   }
 
-  /// How often each request has arrived at the address.
+  /// Number of arrivals of each request at the address.
   const std::map<router::RequestHandle, int>& arrivals() const { return arrivals_; }
   const std::vector<router::Answer>& answers() const { return answers_; }
   router::RouterCore& core() { return core_; }
@@ -121,11 +122,11 @@
   std::vector<routing::RouterHello> hellos_;
 };
 
-TEST_CASE("a request does not arrive twice at an address that another incarnation answers at") {
+TEST_CASE("a request does not arrive twice at an address with another incarnation") {
   ReusedAddress world;
   constexpr int kRequests = 200;
   for (int i = 0; i < kRequests; ++i) {
-    world.ask(10 * i, static_cast<std::uint32_t>(i) * 300);
+    world.send_request(10 * i, static_cast<std::uint32_t>(i) * 300);
     for (int j = 1; j < 10; ++j) {
       world.tick(10 * i + j);
     }
@@ -137,21 +138,21 @@
   CHECK(repeats == 0);
 }
 
-TEST_CASE("one request per router finds out that an owner has ended") {
+TEST_CASE("one request per router detects that an owner has ended") {
   ReusedAddress world;
   for (int i = 0; i < 100; ++i) {
-    world.ask(10 * i, static_cast<std::uint32_t>(i) * 300);
+    world.send_request(10 * i, static_cast<std::uint32_t>(i) * 300);
     world.tick(10 * i + 5);
   }
   CHECK(world.arrivals().size() == 1);
   CHECK(world.core().counters().ended_backends == 1);
 }
 
-TEST_CASE("an ended owner is reported to the leader at once, and again until the table says so") {
+TEST_CASE("an ended owner is reported to the leader at once until the table marks it as ended") {
   ReusedAddress world;
   world.tick(0);
   world.hellos().clear();
-  world.ask(50, 1);  // the next regular hello is due at 100
+  world.send_request(50, 1);  // the next regular hello is due at 100
   for (int i = 51; i <= 56; ++i) {
     world.tick(i);
   }
@@ -175,7 +176,7 @@
   CHECK(world.hellos().back().ended.empty());
 }
 
-TEST_CASE("a back end that the table calls ended gets nothing, also after the router forgot it") {
+TEST_CASE("a back end marked as ended receives nothing, even after the router has dropped it") {
   ReusedAddress world;
   routing::TableUpdate update = table_with_owner();
   update.current_index = common::LogIndex(11);
@@ -183,15 +184,15 @@
   update.deltas[0].backends[0].ended = true;
   world.core().on_table_update(at(1), update);
   for (int i = 2; i < 12'000; i += 50) {
-    world.ask(i, 1);
+    world.send_request(i, 1);
     world.tick(i + 25);
   }
   CHECK(world.arrivals().empty());
 }
 
-TEST_CASE("requests for keys of an ended owner are refused as not run, and say when to come back") {
+TEST_CASE("requests for keys of an ended owner are refused as not run, with a retry time") {
   ReusedAddress world;
-  world.ask(0, 1);
+  world.send_request(0, 1);
   for (int i = 1; i <= 100; ++i) {
     world.tick(i);
   }
--- a/test/platform/server_limit_test.cpp
+++ b/test/platform/server_limit_test.cpp
@@ -1,7 +1,8 @@
-/// Back ends that name in their answers how many requests a second they take from all routers.
+/// Back ends that state in their answers a limit of requests per second from all routers together.
 ///
-/// Seen: two of fourteen owners of keys named 4.8 and 1 a second, and got 63 and 17 requests in the
-/// 4 s in which 34 and 11 were allowed, as many as before they had named anything.
+/// Guards against routers that ignore the limit: two of fourteen owners of keys stated 4.8 and 1
+/// per second and received 63 and 17 requests in 4 s, where 34 and 11 were allowed, as many
+/// as without a limit.
 
 #include <doctest/doctest.h>
 
@@ -28,11 +29,12 @@
 constexpr std::uint64_t kBackends = 6;
 constexpr std::uint32_t kKeysEach = config::kKeyCount / kBackends;
 constexpr Duration kWork = milliseconds(60);
-/// From when on, and over which time, all routers together keep to the limit.
-constexpr Duration kContact = milliseconds(3000);
+/// Time after the first stated limit from which on all routers together have to keep it.
+constexpr Duration kPropagationTime = milliseconds(3000);
+/// Window in which the limit is checked.
 constexpr Duration kWindow = milliseconds(4000);
-/// A router counts from this time after it has passed on such an answer.
-constexpr Duration kTold = milliseconds(500);
+/// A router's requests count from this time on after its first answer with a limit.
+constexpr Duration kReactionTime = milliseconds(500);
 constexpr const char* kLimitHeader = "X-Planktray-Server-Limit";
 
 TimePoint at(std::int64_t milliseconds_since_start) {
@@ -40,7 +42,7 @@
   return common::from_microseconds((kStart + milliseconds_since_start) * 1000);
 }
 
-/// Many routers before a service of a few back ends, of which the first names a limit from 1 s on.
+/// Many routers and a service of a few back ends. The first back end states a limit from 1 s on.
 class LimitedService {
  public:
   LimitedService(std::size_t routers, std::string limit, bool keyed, std::uint64_t seed)
@@ -55,7 +57,8 @@
     }
   }
 
-  /// Most requests that the back end got in 4 s from routers that it had told.
+  /// Returns the maximum number of requests in 4 s that the back end received from routers to which
+  /// it had stated its limit.
   std::size_t run(double requests_per_second, std::int64_t length_ms) {
     for (std::int64_t time = 0; time < length_ms; ++time) {
       now_ = at(time);
@@ -68,17 +71,17 @@
       }
       for (Node& node : nodes_) {
         node.core->tick(now_);
-        carry_out(node);
+        execute(node);
       }
     }
-    return most_;
+    return maximum_;
   }
   std::size_t arrived() const { return arrived_; }
 
  private:
   struct Node {
     std::unique_ptr<RouterCore> core;
-    std::optional<TimePoint> told;  ///< when it first passed such an answer on
+    std::optional<TimePoint> limit_received;  ///< time of its first answer with a limit
     std::vector<router::Forward> sent;
   };
   struct Running {
@@ -144,10 +147,10 @@
           static_cast<std::uint32_t>(common::uniform(random_, 0, kBackends * kKeysEach - 1));
     }
     node.core->on_request(now_, request);
-    carry_out(node);
+    execute(node);
   }
 
-  void carry_out(Node& node) {
+  void execute(Node& node) {
     for (const router::Forward& forward : node.core->take_output().forwards) {
       if (forward.address == "1") {
         count_arrival(node);
@@ -157,8 +160,9 @@
   }
 
   void count_arrival(const Node& node) {
-    const bool counts = named_.has_value() && now_ >= *named_ + kContact && node.told.has_value() &&
-                        now_ >= *node.told + kTold;
+    const bool counts = first_stated_.has_value() && now_ >= *first_stated_ + kPropagationTime &&
+                        node.limit_received.has_value() &&
+                        now_ >= *node.limit_received + kReactionTime;
     if (!counts) {
       return;
     }
@@ -167,7 +171,7 @@
     while (window_.front() <= now_ - kWindow) {
       window_.pop_front();
     }
-    most_ = std::max(most_, window_.size());
+    maximum_ = std::max(maximum_, window_.size());
   }
 
   void answer_due() {
@@ -180,13 +184,13 @@
       response.headers = {{kSealHeader, "seal"}};
       if (done.forward.address == "1" && now_ >= at(1000)) {
         response.headers.emplace_back(kLimitHeader, limit_);
-        named_ = named_.value_or(now_);
-        done.node->told = done.node->told.value_or(now_);
+        first_stated_ = first_stated_.value_or(now_);
+        done.node->limit_received = done.node->limit_received.value_or(now_);
       }
       const router::AttemptResult result =
           PlatformDialect().classify({}, done.forward.incarnation, response);
       done.node->core->on_attempt_done(now_, done.forward.attempt, result);
-      carry_out(*done.node);
+      execute(*done.node);
     }
   }
 
@@ -196,22 +200,22 @@
   TimePoint now_;
   std::vector<Node> nodes_;
   std::multimap<TimePoint, Running> running_;
-  std::optional<TimePoint> named_;
+  std::optional<TimePoint> first_stated_;
   std::deque<TimePoint> window_;
-  std::size_t most_ = 0;
+  std::size_t maximum_ = 0;
   std::size_t arrived_ = 0;
   router::RequestHandle last_request_ = 0;
 };
 
-/// One and a half times what the limit allows in 4 s, and 5.
+/// 1.5 times the requests that the limit allows in 4 s, plus 5.
 std::size_t allowed(double limit) { return static_cast<std::size_t>(1.5 * limit * 4 + 5); }
 
 struct Limit {
-  const char* text;  ///< as the back end writes it
+  const char* text;  ///< in the form of the back end
   double per_second;
 };
 
-TEST_CASE("a back end that names a limit gets no more than it allows from all routers together") {
+TEST_CASE("a back end that states a limit receives at most this from all routers together") {
   for (const std::size_t routers : {std::size_t(4), std::size_t(11), std::size_t(78)}) {
     for (const bool keyed : {true, false}) {
       for (const Limit& limit : {Limit{"4.8", 4.8}, Limit{"1", 1.0}}) {
