--- a/test/platform/configuration_codec_test.cpp
+++ b/test/platform/configuration_codec_test.cpp
@@ -30,14 +30,14 @@
     "idle_timeout":"15000ms"}})");
 }
 
-json whole() {
+json complete() {
   return {{"version", 7},
           {"base_version", 5},
           {"resources", {route_item(), service_item("s"), service_item("t"), limits_item()}}};
 }
 
-TEST_CASE("a whole configuration is read in the product's terms") {
-  const auto change = parse_whole(whole().dump());
+TEST_CASE("a complete configuration is parsed into the product's types") {
+  const auto change = parse_configuration(complete().dump());
   REQUIRE(change.has_value());
   CHECK(change->version == 7);
   CHECK(change->base_version == 5);
@@ -60,11 +60,11 @@
   CHECK(change->limits[0].idle_timeout_ms == 15'000);
 }
 
-TEST_CASE("each kind of route says what may be repeated and what is large") {
+TEST_CASE("each kind of route defines what is repeatable and what is large") {
   const auto kind_of = [](const std::string& kind) {
-    json change = whole();
+    json change = complete();
     change["resources"][0]["specification"]["kind"] = kind;
-    return parse_whole(change.dump()).value().routes[0].kind;
+    return parse_configuration(change.dump()).value().routes[0].kind;
   };
   CHECK(kind_of("safe") == config::RequestKind{.repeatable = true});
   CHECK(kind_of("unsafe") == config::RequestKind{});
@@ -72,15 +72,15 @@
   CHECK(kind_of("download") == config::RequestKind{.repeatable = true, .large_answer = true});
 }
 
-TEST_CASE("a route of an unknown kind is refused by its name") {
-  json change = whole();
+TEST_CASE("the error for an unknown kind names the route") {
+  json change = complete();
   change["resources"][0]["specification"]["kind"] = "odd";
-  const auto read = parse_whole(change.dump());
-  REQUIRE_FALSE(read.has_value());
-  CHECK(read.error().message.find("route r ") != std::string::npos);
+  const auto parsed = parse_configuration(change.dump());
+  REQUIRE_FALSE(parsed.has_value());
+  CHECK(parsed.error().message.find("route r ") != std::string::npos);
 }
 
-TEST_CASE("a route written without sizes of bodies is read as one of small bodies") {
+TEST_CASE("a stored route without body sizes is decoded as one with small bodies") {
   config::Route route;
   route.name = "r";
   route.kind = {.repeatable = true, .large_request = true, .large_answer = true};
@@ -90,23 +90,23 @@
   msgpack::object written = handle.get();
   constexpr std::uint32_t kSizes = 2;
   written.via.array.size -= kSizes;
-  const auto read = written.as<config::Route>();
-  CHECK(read.name == "r");
-  CHECK(read.kind == config::RequestKind{.repeatable = true});
+  const auto decoded = written.as<config::Route>();
+  CHECK(decoded.name == "r");
+  CHECK(decoded.kind == config::RequestKind{.repeatable = true});
 }
 
-TEST_CASE("the same content has the same digest, other content and the other call another") {
-  const auto first = parse_whole(whole().dump());
-  const auto laid_out = parse_whole(whole().dump(2));
-  CHECK(first->digest == laid_out->digest);
-  json other = whole();
+TEST_CASE("equal content has equal digests; other content and patches have different ones") {
+  const auto first = parse_configuration(complete().dump());
+  const auto indented = parse_configuration(complete().dump(2));
+  CHECK(first->digest == indented->digest);
+  json other = complete();
   other["resources"][0]["specification"]["timeout"] = "801ms";
-  CHECK(parse_whole(other.dump())->digest != first->digest);
+  CHECK(parse_configuration(other.dump())->digest != first->digest);
   const json patch = {{"version", 7}, {"base_version", 5}};
   CHECK(parse_patch(patch.dump())->digest != first->digest);
 }
 
-TEST_CASE("a patch names what it adds and what it removes") {
+TEST_CASE("a patch lists added and removed items") {
   const json patch = {{"version", 9},
                       {"base_version", 7},
                       {"upsert", {{"resources", {route_item()}}}},
@@ -119,45 +119,45 @@
   CHECK(change->removed_services == std::vector<std::string>{"gone"});
 }
 
-TEST_CASE("what cannot be read whole is refused, and the field is named") {
+TEST_CASE("configurations with invalid fields are refused, and the error names the field") {
   const auto refused = [](const json& body, const std::string& field) {
-    const auto change = parse_whole(body.dump());
+    const auto change = parse_configuration(body.dump());
     REQUIRE_FALSE(change.has_value());
     CHECK(change.error().code == common::ErrorCode::kInvalid);
     CHECK_MESSAGE(change.error().message.find(field) != std::string::npos, change.error().message);
   };
-  json body = whole();
+  json body = complete();
   body.erase("version");
   refused(body, "version");
-  body = whole();
+  body = complete();
   body["base_version"] = -1;
   refused(body, "base_version");
-  body = whole();
+  body = complete();
   body["resources"][0]["specification"]["kind"] = "sometimes";
   refused(body, "kind");
-  body = whole();
+  body = complete();
   body["resources"][0]["specification"].erase("host");
   refused(body, "host");
-  body = whole();
+  body = complete();
   body["resources"][0]["specification"]["timeout"] = 800;
   refused(body, "timeout");
-  body = whole();
+  body = complete();
   body["resources"][0]["specification"]["traffic_split"][0]["weight"] = "much";
   refused(body, "weight");
-  body = whole();
+  body = complete();
   body["resources"][1]["specification"]["max_connections"] = 5'000'000'000;
   refused(body, "max_connections");
-  body = whole();
+  body = complete();
   body["resources"][1]["resource_kind"] = "wishes";
   refused(body, "wishes");
-  const std::string text = whole().dump();
-  CHECK_FALSE(parse_whole(text.substr(0, text.size() / 2)).has_value());
-  CHECK_FALSE(parse_whole("[]").has_value());
-  CHECK_FALSE(parse_whole("").has_value());
+  const std::string text = complete().dump();
+  CHECK_FALSE(parse_configuration(text.substr(0, text.size() / 2)).has_value());
+  CHECK_FALSE(parse_configuration("[]").has_value());
+  CHECK_FALSE(parse_configuration("").has_value());
 }
 
-TEST_CASE("what is read back is what was sent") {
-  const auto change = parse_whole(whole().dump());
+TEST_CASE("the encoded configuration equals the submitted one") {
+  const auto change = parse_configuration(complete().dump());
   REQUIRE(change.has_value());
   config::RouteConfiguration configuration;
   configuration.version = change->version;
@@ -167,7 +167,7 @@
     configuration.services[service.name.value] = service;
   }
   configuration.limits = change->limits[0];
-  CHECK(json::parse(to_json(configuration)) == whole());
+  CHECK(json::parse(to_json(configuration)) == complete());
 }
 
 }  // namespace
--- a/test/platform/heartbeat_codec_test.cpp
+++ b/test/platform/heartbeat_codec_test.cpp
@@ -13,7 +13,7 @@
          R"("status":{"state":"ready","sequence":4,"cold_remaining":"1500ms"}})";
 }
 
-TEST_CASE("a heartbeat without rows does not say what its sender holds") {
+TEST_CASE("a heartbeat without rows reports no holdings") {
   const auto heartbeat = parse_heartbeat("life", heartbeat_with(""));
   REQUIRE(heartbeat.has_value());
   CHECK_FALSE(heartbeat->holdings.has_value());
@@ -21,7 +21,7 @@
   CHECK(heartbeat->cold_ms == 1500);
 }
 
-TEST_CASE("a heartbeat says what its sender holds and has released, also where it is nothing") {
+TEST_CASE("a heartbeat reports held and released keys, also if the lists are empty") {
   const auto empty = parse_heartbeat("life", heartbeat_with(R"("holds":[],"released":[],)"));
   REQUIRE(empty.has_value());
   REQUIRE(empty->holdings.has_value());
@@ -38,7 +38,7 @@
   CHECK(full->holdings->released[0].handover == "5c0e");
 }
 
-TEST_CASE("a cold time that cannot be read costs neither the heartbeat nor the sign of it") {
+TEST_CASE("a heartbeat with an invalid cold time is accepted and marked") {
   const auto with = [](const std::string& cold) {
     return parse_heartbeat("life",
                            R"({"address":"a:1","information":{"service":"s","zone":"z","slots":3},)"
@@ -58,7 +58,7 @@
   CHECK(with(R"(,"cold_remaining":"0.4ms")")->cold_ms == 1);  // not warm yet
 }
 
-TEST_CASE("rows that cannot be read make the whole heartbeat invalid") {
+TEST_CASE("invalid rows make the whole heartbeat invalid") {
   for (const char* rows :
        {R"("holds":7,)", R"("holds":[7],)", R"("holds":[[0,1]],)", R"("holds":[[5,4,7]],)",
         R"("holds":[[0,65536,7]],)", R"("holds":[[-1,5,7]],)", R"("holds":[[0,5,"x"]],)",
@@ -71,7 +71,7 @@
   }
 }
 
-TEST_CASE("an answer states all that a back end is to hold, or says nothing of it") {
+TEST_CASE("an answer lists all keys that the back end is to hold, or has no list") {
   CHECK(heartbeat_answer("10.0.0.9:80", nullptr) == R"({"heartbeat_address":"10.0.0.9:80"})");
   ownership::GrantedHoldings holdings;
   holdings.hold_time = std::chrono::milliseconds(2610);
