--- a/src/router/core/router_options.hpp
+++ b/src/router/core/router_options.hpp
@@ -73,7 +73,7 @@
   Duration evacuation_grace = std::chrono::milliseconds(2000);
   /// A request that is not sent within this fraction of its latency objective is refused.
   double max_wait_fraction = 0.2;
-  /// The same limit as a time, where the route states no objective.
+  /// The same limit as a time, where no route of the service states an objective.
   Duration default_max_wait = std::chrono::milliseconds(60);
   /// A request is refused if its answer is expected later than this fraction of its remaining time.
   double usable_deadline_fraction = 0.9;
