--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -172,7 +172,7 @@
   return log_.empty() ? snapshot_.index : std::max(log_.back().index, snapshot_.index);
 }
 
-std::optional<TimePoint> RaftNode::last_heard(ReplicaId peer) const {
+std::optional<TimePoint> RaftNode::last_contact(ReplicaId peer) const {
   const auto found = progress_.find(peer);
   return found == progress_.end() ? std::nullopt : found->second.heard;
 }
--- a/src/consensus/raft.hpp
+++ b/src/consensus/raft.hpp
@@ -110,7 +110,7 @@
   /// lease holds (see has_leader_lease). A follower's is older by a heartbeat and its way.
   std::optional<TimePoint> current_as_of() const { return current_as_of_; }
   /// When the newest heartbeat that this peer answered was sent; nothing where none was.
-  std::optional<TimePoint> last_heard(ReplicaId peer) const;
+  std::optional<TimePoint> last_contact(ReplicaId peer) const;
   /// The last log index this peer is known to hold durably (leader only).
   LogIndex match_index(ReplicaId peer) const;
 
--- a/src/controller/core/controller_core.hpp
+++ b/src/controller/core/controller_core.hpp
@@ -270,11 +270,11 @@
   /// True if this follower has a leader and the state contains everything in the heartbeat.
   bool may_answer_for_leader(const Heartbeat& heartbeat) const;
   void report_heartbeats(TimePoint now);
-  void relay_update(TimePoint now, OperatorRequestId request, membership::BackendNews update);
+  void relay_update(TimePoint now, OperatorRequestId request, membership::BackendUpdate update);
   bool is_committed(const RelayedUpdate& update) const;
   void answer_relayed(TimePoint now);
   /// Proposes an update that a follower has relayed; called on the leader.
-  void apply_relayed(TimePoint now, const membership::BackendNews& update);
+  void apply_relayed(TimePoint now, const membership::BackendUpdate& update);
   /// Sends a router the updates that this follower can provide, and the list of controllers.
   void answer_as_follower(TimePoint now, const routing::RouterHello& hello);
   /// Sends a router the list of controllers.
@@ -331,8 +331,8 @@
   common::LogIndex planned_state_;     ///< the state that the last plan was made from
   TimePoint next_balance_;
   TimePoint next_join_;
-  std::vector<membership::HeardBackend> heard_;   ///< on a follower, since its last report
-  std::vector<membership::BackendNews> updates_;  ///< on a follower, not yet sent to the leader
+  std::vector<membership::BackendHeartbeat> heard_;   ///< on a follower, since its last report
+  std::vector<membership::BackendUpdate> updates_;  ///< on a follower, not yet sent to the leader
   std::map<OperatorRequestId, RelayedUpdate> relayed_;
   TimePoint next_report_;
   TimePoint next_plan_;
--- a/src/controller/core/controller_core_backends.cpp
+++ b/src/controller/core/controller_core_backends.cpp
@@ -24,13 +24,13 @@
 /// tries another controller. Senders give a heartbeat up after one second.
 constexpr Duration kRelayTimeout = std::chrono::milliseconds(800);
 
-membership::BackendNews update_of(const Heartbeat& heartbeat) {
+membership::BackendUpdate update_of(const Heartbeat& heartbeat) {
   return {heartbeat.incarnation, heartbeat.address,  heartbeat.service,
           heartbeat.zone,        heartbeat.slots,    heartbeat.sequence,
           heartbeat.cold_ms,     heartbeat.draining, false};
 }
 
-ownership::RegisterBackend registration_of(const membership::BackendNews& update,
+ownership::RegisterBackend registration_of(const membership::BackendUpdate& update,
                                            ownership::OwnershipContract contract) {
   ownership::RegisterBackend registration;
   registration.machine = common::MachineName(update.incarnation.value);
@@ -128,7 +128,7 @@
 }
 
 void ControllerCore::relay_update(TimePoint now, OperatorRequestId request,
-                                  membership::BackendNews update) {
+                                  membership::BackendUpdate update) {
   if (raft_.is_leader() || raft_.leader().value == 0) {
     return fail_request(request, false, not_leader("accept heartbeat"));
   }
@@ -174,7 +174,7 @@
                                                          std::exchange(updates_, {})};
 }
 
-void ControllerCore::apply_relayed(TimePoint now, const membership::BackendNews& update) {
+void ControllerCore::apply_relayed(TimePoint now, const membership::BackendUpdate& update) {
   if (state_.has_departed(update.incarnation)) {
     return;
   }
@@ -218,10 +218,10 @@
   if (report.cell != options_.cell || !is_serving(now)) {
     return;
   }
-  for (const membership::BackendNews& update : report.news) {
+  for (const membership::BackendUpdate& update : report.updates) {
     apply_relayed(now, update);
   }
-  for (const membership::HeardBackend& heard : report.heard) {
+  for (const membership::BackendHeartbeat& heard : report.heartbeats) {
     const bool is_current = ranges_.record_heartbeat(now, heard.incarnation, heard.sequence,
                                                      std::chrono::milliseconds(heard.cold_ms));
     if (!is_current || !ranges_.grants().has_unreachable()) {
@@ -237,7 +237,7 @@
 void ControllerCore::deregister(TimePoint now, OperatorRequestId request,
                                 const common::Incarnation& incarnation) {
   if (!is_serving(now)) {
-    membership::BackendNews update;
+    membership::BackendUpdate update;
     update.incarnation = incarnation;
     update.departed = true;
     return relay_update(now, request, std::move(update));
--- a/src/controller/core/range_controller.cpp
+++ b/src/controller/core/range_controller.cpp
@@ -237,7 +237,7 @@
 
 bool RangeController::may_be_removed(TimePoint now, const BackendRecord& backend) const {
   return (backend.leaving && heartbeats_.is_silent(now, backend.incarnation)) ||
-         heartbeats_.is_forgotten(now, backend.incarnation);
+         heartbeats_.is_removable(now, backend.incarnation);
 }
 
 std::vector<common::BackendId> RangeController::removable(TimePoint now, const CellState& state,
--- a/src/controller/operator_views.cpp
+++ b/src/controller/operator_views.cpp
@@ -87,7 +87,7 @@
   const auto time = now();
   for (const consensus::Member& member : core_.raft().membership().members) {
     json item = member_json(member);
-    const auto last_contact = core_.raft().last_heard(member.id);
+    const auto last_contact = core_.raft().last_contact(member.id);
     item["match_index"] = core_.raft().match_index(member.id).value;
     item["is_self"] = member.id == core_.raft().self();
     if (last_contact.has_value()) {
--- a/src/membership/heartbeat_monitor.hpp
+++ b/src/membership/heartbeat_monitor.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// What the leader has heard of the back ends that register themselves by heartbeats. It lives with
-/// one term; what must survive is in the replicated state.
+/// The leader's contact times of the back ends that register themselves by heartbeats. They are
+/// volatile and kept for one term; durable data is in the replicated state.
 
 #include <cstdint>
 #include <map>
@@ -12,48 +12,54 @@
 namespace planktray::membership {
 
 struct HeartbeatOptions {
-  /// A back end that was not heard for this long gets no keys.
+  /// A back end without contact for this long is assigned no keys.
   common::Duration silent_after = std::chrono::milliseconds(3500);
-  /// One that was not heard for this long and owns nothing is forgotten.
-  common::Duration forget_after = std::chrono::milliseconds(20'000);
-  /// Safeguard: a heartbeat that comes after a newer one says nothing. Off only in mutants.
+  /// A back end without contact for this long that owns no keys is removed.
+  common::Duration remove_after = std::chrono::milliseconds(20'000);
+  /// Safeguard: a heartbeat that arrives after a newer one is ignored. Disabled only in mutants.
   bool refuse_late = true;
 };
 
-/// What a back end's heartbeats say of its start.
+/// Whether a back end is still warming up, as reported by its heartbeats.
 enum class Warmth : std::uint8_t { kUnknown, kCold, kWarm };
 
+/// Detects back ends that have stopped sending heartbeats.
 class HeartbeatMonitor {
  public:
   explicit HeartbeatMonitor(HeartbeatOptions options) : options_(options) {}
 
-  /// Starts over: every back end has one silent_after to be heard.
+  /// Discards all contacts; each back end counts as contacted at `now`.
   void begin_term(common::TimePoint now);
-  /// @return false where this heartbeat, or a newer one of this incarnation, came before.
-  /// @param cold_for how much longer the back end is cold by its own word.
+  /// Records a heartbeat.
+  /// @param cold_for remaining time until the back end is warm, as reported.
+  /// @return false where this heartbeat or a newer one of this incarnation arrived before.
   bool note_heartbeat(common::TimePoint now, const common::Incarnation& incarnation,
                       std::uint64_t sequence, common::Duration cold_for);
-  /// It answered a call: as good as a heartbeat.
+  /// Records an answer to a call; counts as contact like a heartbeat, but reports no warmth.
   void note_answer(common::TimePoint now, const common::Incarnation& incarnation);
-  /// @param since a heartbeat heard before this says nothing.
+  /// @param since heartbeats received before this time are ignored.
+  /// @return kUnknown where no later heartbeat was received.
   Warmth warmth(common::TimePoint now, const common::Incarnation& incarnation,
                 common::TimePoint since) const;
+  /// True where the last contact is longer ago than `silent_after`.
   bool is_silent(common::TimePoint now, const common::Incarnation& incarnation) const;
-  bool is_forgotten(common::TimePoint now, const common::Incarnation& incarnation) const;
+  /// True where the last contact is longer ago than `remove_after`.
+  bool is_removable(common::TimePoint now, const common::Incarnation& incarnation) const;
 
  private:
-  struct Heard {
-    common::TimePoint at;
-    std::optional<std::uint64_t> sequence;  ///< of its newest heartbeat
-    common::TimePoint told_at;              ///< when that came
-    common::TimePoint cold_until;           ///< by that heartbeat
+  struct Contact {
+    common::TimePoint at;                   ///< of the last heartbeat or answer
+    std::optional<std::uint64_t> sequence;  ///< of the newest heartbeat
+    common::TimePoint heartbeat_at;         ///< when the newest heartbeat arrived
+    common::TimePoint cold_until;           ///< as reported by the newest heartbeat
   };
 
-  common::TimePoint heard_at(const common::Incarnation& incarnation) const;
+  /// The time of the last contact, or the start of the term where there was none since.
+  common::TimePoint contacted_at(const common::Incarnation& incarnation) const;
 
   HeartbeatOptions options_;
-  common::TimePoint term_began_;
-  std::map<common::Incarnation, Heard> heard_;
+  common::TimePoint term_start_;
+  std::map<common::Incarnation, Contact> contacts_;
 };
 
 }  // namespace planktray::membership
--- a/src/membership/heartbeat_report.hpp
+++ b/src/membership/heartbeat_report.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// What a follower tells the leader of back ends whose heartbeats it takes.
+/// The report that a follower sends to the leader about the back ends whose heartbeats it receives.
 
 #include <cstdint>
 #include <string>
@@ -10,33 +10,36 @@
 
 namespace planktray::membership {
 
-struct HeardBackend {
+/// The newest heartbeat of a back end, without its unchanged registration.
+struct BackendHeartbeat {
   common::Incarnation incarnation;
-  std::uint64_t sequence = 0;  ///< of its newest heartbeat
-  std::uint32_t cold_ms = 0;   ///< how much longer it is cold, by that heartbeat
+  std::uint64_t sequence = 0;  ///< sequence number of the heartbeat
+  std::uint32_t cold_ms = 0;   ///< remaining time until the back end is warm, as reported
   MSGPACK_DEFINE_ARRAY(incarnation, sequence, cold_ms)
 };
 
-/// What a back end has said of itself that is not in the replicated state yet.
-struct BackendNews {
+/// A registration, change or deregistration of a back end that the replicated state does not
+/// contain yet.
+struct BackendUpdate {
   common::Incarnation incarnation;
   std::string address;  ///< "IP:port"
   std::string service;
   common::ZoneName zone;
   std::uint32_t slots = 0;
-  std::uint64_t sequence = 0;  ///< of the heartbeat that said so
-  std::uint32_t cold_ms = 0;   ///< how much longer it is cold, by that heartbeat
+  std::uint64_t sequence = 0;  ///< sequence number of the heartbeat
+  std::uint32_t cold_ms = 0;   ///< remaining time until the back end is warm, as reported
   bool draining = false;
-  bool departed = false;  ///< it has said goodbye; of the others only `incarnation` is set
+  bool departed = false;  ///< the back end deregistered; only `incarnation` is set besides
   MSGPACK_DEFINE_ARRAY(incarnation, address, service, zone, slots, sequence, cold_ms, draining,
                        departed)
 };
 
+/// All heartbeats and updates since the follower's previous report.
 struct HeartbeatReport {
   common::CellName cell;
-  std::vector<HeardBackend> heard;  ///< answered already: they said nothing new
-  std::vector<BackendNews> news{};  ///< the follower answers once they are committed
-  MSGPACK_DEFINE_ARRAY(cell, heard, news)
+  std::vector<BackendHeartbeat> heartbeats;  ///< without changes; already answered by the follower
+  std::vector<BackendUpdate> updates{};      ///< answered by the follower once committed
+  MSGPACK_DEFINE_ARRAY(cell, heartbeats, updates)
 };
 
 }  // namespace planktray::membership
--- a/test/consensus/raft_test.cpp
+++ b/test/consensus/raft_test.cpp
@@ -240,13 +240,13 @@
   cell.run(0, 1000);
   const std::size_t leader = *cell.leader(1000);
   const std::size_t peer = (leader + 1) % kReplicas;
-  const auto before = cell.nodes[leader].last_heard(common::ReplicaId(peer + 1));
+  const auto before = cell.nodes[leader].last_contact(common::ReplicaId(peer + 1));
   REQUIRE(before.has_value());
   // A reply to that old heartbeat arrives once more, much later.
   const RaftMessage late{common::ReplicaId(peer + 1), common::ReplicaId(leader + 1),
                          cell.nodes[leader].term(), AppendReply{true, LogIndex(1), 1}};
   cell.nodes[leader].receive(at(1200), late);
-  CHECK(*cell.nodes[leader].last_heard(common::ReplicaId(peer + 1)) == *before);
+  CHECK(*cell.nodes[leader].last_contact(common::ReplicaId(peer + 1)) == *before);
 }
 
 TEST_CASE("a replica that denies what it acknowledged is not answered without end") {
