--- a/src/consensus/join.hpp
+++ b/src/consensus/join.hpp
@@ -1,11 +1,11 @@
 #pragma once
-/// How a controller with a new data folder asks to be taken into its cell.
+/// The request of a controller with a new data folder to join its cell.
 
 #include "consensus/messages.hpp"
 
 namespace planktray::consensus {
 
-/// Sent to every configured peer until a leader has made the sender a member.
+/// Sent to every configured peer until the leader has added the sender as a member.
 struct JoinRequest {
   common::CellName cell;
   Member candidate;
