--- a/src/consensus/raft.cpp
+++ b/src/consensus/raft.cpp
@@ -6,7 +6,8 @@
 namespace planktray::consensus {
 namespace {
 
-/// Log entries kept behind the snapshot, so that a replica slightly behind needs no snapshot.
+/// Log entries kept before the snapshot index, so that a replica that is slightly behind needs no
+/// snapshot.
 constexpr std::size_t kRetainedEntries = 512;
 
 LogIndex next_index(LogIndex index) { return LogIndex(index.value + 1); }
@@ -22,11 +23,11 @@
       snapshot_(std::move(state.snapshot)),
       log_(state.entries.begin(), state.entries.end()),
       commit_(snapshot_.index),
-      quiet_until_(now + options.minimum_election_timeout),
+      votes_refused_until_(now + options.minimum_election_timeout),
       leader_since_(now),
-      lease_from_(TimePoint::min() + std::chrono::hours(1)) {
+      lease_start_(TimePoint::min() + std::chrono::hours(1)) {
   recompute_membership();
-  durable_ = last_index();
+  durable_index_ = last_index();
   if (snapshot_.index.value > 0) {
     output_.restored = snapshot_;
   }
@@ -48,12 +49,12 @@
 
 void RaftNode::receive(TimePoint now, const RaftMessage& message) {
   if (message.to != self_) {
-    return;  // meant for the data folder that was here before
+    return;  // addressed to the previous data folder at this address
   }
   const auto* vote_request = std::get_if<VoteRequest>(&message.body.value);
   const auto* vote_reply = std::get_if<VoteReply>(&message.body.value);
   if (vote_request != nullptr && !may_vote(now)) {
-    return;  // a leader may still hold a lease that counts on this voter's silence
+    return;  // a leader may still hold a lease that relies on this voter granting no vote
   }
   const bool term_is_proposed = (vote_request != nullptr && vote_request->pre_vote) ||
                                 (vote_reply != nullptr && vote_reply->granted);
@@ -66,7 +67,7 @@
 void RaftNode::persisted(TimePoint now, std::uint64_t sequence) {
   synced_sequence_ = std::max(synced_sequence_, sequence);
   while (!appended_by_sequence_.empty() && appended_by_sequence_.begin()->first <= sequence) {
-    durable_ = std::max(durable_, appended_by_sequence_.begin()->second);
+    durable_index_ = std::max(durable_index_, appended_by_sequence_.begin()->second);
     appended_by_sequence_.erase(appended_by_sequence_.begin());
   }
   while (!delayed_.empty() && delayed_.front().sequence <= sequence) {
@@ -100,7 +101,8 @@
 
 common::Result<LogIndex> RaftNode::propose(TimePoint now, std::string payload) {
   if (role_ != Role::kLeader) {
-    return common::fail(common::ErrorCode::kNotLeader, "propose", "", "this replica does not lead");
+    return common::fail(common::ErrorCode::kNotLeader, "propose", "",
+                        "this replica is not the leader");
   }
   append_local(now, EntryKind::kCommand, std::move(payload));
   return last_index();
@@ -109,15 +111,16 @@
 common::Result<LogIndex> RaftNode::propose_membership(TimePoint now, const Membership& next) {
   if (role_ != Role::kLeader) {
     return common::fail(common::ErrorCode::kNotLeader, "change membership", "",
-                        "this replica does not lead");
+                        "this replica is not the leader");
   }
   if (!membership_.is_one_step_from(next)) {
     return common::fail(common::ErrorCode::kInvalid, "change membership", "",
                         "only one voter may change at a time");
   }
   if (membership_index_ > commit_ || commit_ < term_start_) {
-    return common::fail(common::ErrorCode::kUnavailable, "change membership", "",
-                        "an earlier entry has not committed yet");
+    return common::fail(
+        common::ErrorCode::kUnavailable, "change membership", "",
+        "an earlier membership change or the first entry of this term has not committed yet");
   }
   append_local(now, EntryKind::kMembership, common::encode(next));
   return last_index();
@@ -128,7 +131,7 @@
     output_.reads_failed.push_back(read_id);
     return;
   }
-  reads_.push_back({read_id, round_ + 1, std::max(commit_, term_start_)});
+  pending_reads_.push_back({read_id, round_ + 1, std::max(commit_, term_start_)});
   broadcast(now);
   release_reads();
 }
@@ -165,7 +168,7 @@
 
 bool RaftNode::has_leader_lease(TimePoint now) const {
   return role_ == Role::kLeader && commit_ >= term_start_ &&
-         now < lease_from_ + options_.minimum_election_timeout - options_.lease_margin;
+         now < lease_start_ + options_.minimum_election_timeout - options_.lease_margin;
 }
 
 LogIndex RaftNode::last_index() const {
@@ -174,12 +177,12 @@
 
 std::optional<TimePoint> RaftNode::last_contact(ReplicaId peer) const {
   const auto found = progress_.find(peer);
-  return found == progress_.end() ? std::nullopt : found->second.heard;
+  return found == progress_.end() ? std::nullopt : found->second.last_contact;
 }
 
 LogIndex RaftNode::match_index(ReplicaId peer) const {
   if (peer == self_) {
-    return durable_;
+    return durable_index_;
   }
   const auto found = progress_.find(peer);
   return found == progress_.end() ? LogIndex() : found->second.match;
@@ -202,7 +205,7 @@
     log_.pop_back();
   }
   const LogIndex last(index.value - 1);
-  durable_ = std::min(durable_, last);
+  durable_index_ = std::min(durable_index_, last);
   for (auto& [sequence, appended] : appended_by_sequence_) {
     appended = std::min(appended, last);
   }
@@ -211,7 +214,7 @@
   }
 }
 
-void RaftNode::use_membership_of(const Entry& entry) {
+void RaftNode::apply_membership(const Entry& entry) {
   if (entry.entry_kind() != EntryKind::kMembership) {
     return;
   }
@@ -228,7 +231,7 @@
   membership_index_ = snapshot_.index;
   for (const Entry& entry : log_) {
     if (entry.index > snapshot_.index) {
-      use_membership_of(entry);
+      apply_membership(entry);
     }
   }
   refresh_progress();
--- a/src/consensus/raft.hpp
+++ b/src/consensus/raft.hpp
@@ -1,15 +1,16 @@
 #pragma once
 /// The replicated log of a cell: Raft (Ongaro and Ousterhout, 2014) with pre-vote, check-quorum,
 /// read-index reads, leader leases, learners, single-step membership changes and chunked snapshots.
-/// A plain state machine: messages and the time come in, effects come out through take_output().
+/// RaftNode does no I/O: messages and the time are inputs, effects are returned by take_output().
 ///
 /// Invariants:
-///  - A vote or an appended entry is answered only after persisted() has covered it. That a leader
-///  was
-///    heard is answered at once: a voter that forgets it in a crash refuses votes after its start.
-///  - A voter refuses (pre-)votes for one minimum election timeout after it last heard a leader and
-///    after its own start, so a leader lease shorter than that by the drift margin is safe.
-///  - An identity belongs to one data folder. A replaced disk has another identity.
+///  - A vote or an appended entry is acknowledged only after persisted() has covered it. Contact
+///    with the leader is acknowledged at once: a voter that loses it in a crash refuses votes after
+///    its restart.
+///  - A voter refuses votes and pre-votes for one minimum election timeout after its last contact
+///    with a leader and after its own start. A leader lease that is shorter by the drift margin is
+///    therefore safe.
+///  - A replica id belongs to one data folder. A replaced disk has another id.
 
 #include <deque>
 #include <map>
@@ -28,22 +29,24 @@
 using common::Duration;
 using common::TimePoint;
 
+/// Timing and message sizes of a replica.
 struct RaftOptions {
   Duration heartbeat = std::chrono::milliseconds(30);
   Duration minimum_election_timeout = std::chrono::milliseconds(150);
   Duration maximum_election_timeout = std::chrono::milliseconds(250);
-  /// By this much a leader lease ends before a voter may vote again; covers clock rate drift.
+  /// A leader lease ends this long before a voter may vote again; covers clock rate drift.
   Duration lease_margin = std::chrono::milliseconds(20);
-  /// Entries proposed within this time of the last message to all peers go out together: each such
-  /// message, with its answers, took 2 ms of a leader with nine peers and 0.15 of a core, and back
-  /// ends that are replaced come dozens at a time.
+  /// Commands proposed within this time of the last broadcast to all peers are sent together.
+  /// Each broadcast with its replies took a leader with nine peers 2 ms and 0.15 of a core, and
+  /// back ends are replaced by the dozen.
   Duration batch_interval = std::chrono::milliseconds(10);
   std::size_t snapshot_chunk_bytes = 256 * 1024;
   std::size_t maximum_entries_per_message = 256;
-  /// Safeguard: votes are refused while a leader was heard lately. Off only in mutants.
+  /// Safeguard: votes are refused shortly after contact with a leader. Disabled only in mutants.
   bool refuse_early_votes = true;
 };
 
+/// The Raft role of a replica.
 enum class Role : std::uint8_t { kFollower, kPreCandidate, kCandidate, kLeader };
 
 /// Effects of the inputs since the last take_output().
@@ -52,69 +55,77 @@
   std::vector<PersistRequest> persist;
   std::optional<Snapshot> restored;  ///< install before applying `committed`
   std::vector<Entry> committed;
-  std::vector<std::uint64_t> reads_ready;   ///< read ids that may be answered now
-  std::vector<std::uint64_t> reads_failed;  ///< read ids whose leadership was lost
+  std::vector<std::uint64_t> reads_ready;   ///< ids of reads that may be answered
+  std::vector<std::uint64_t> reads_failed;  ///< ids of reads that ended with loss of leadership
 };
 
+/// One replica of the log.
 class RaftNode {
  public:
-  /// @param state what the data folder held; an empty membership waits to be contacted as a
-  ///   learner and never stands for election.
+  /// @param state contents of the data folder; with an empty membership the replica waits for a
+  ///   leader to contact it as a learner and never starts an election.
   RaftNode(RaftOptions options, ReplicaId self, DurableState state, common::RandomEngine random,
            TimePoint now);
 
+  /// Sends due heartbeats as leader, or starts an election after the election timeout.
   void tick(TimePoint now);
+  /// Handles a message from a peer.
   void receive(TimePoint now, const RaftMessage& message);
-  /// The data folder holds everything up to and including this request.
+  /// Reports that the data folder holds everything up to and including this request.
   void persisted(TimePoint now, std::uint64_t sequence);
 
-  /// Starts a cell that never existed: the same first snapshot on every founding member.
-  /// Does nothing where this replica has a membership already.
+  /// Initializes a new cell; every founding member starts from the same first snapshot.
+  /// Does nothing if this replica already has a membership or log entries.
   void bootstrap(TimePoint now, const Membership& membership, std::string data);
   /// Appends a command. @return its index, or kNotLeader.
   common::Result<LogIndex> propose(TimePoint now, std::string payload);
-  /// Appends a membership that differs from the present one by one voter or learner.
-  /// @return its index; kNotLeader, or kUnavailable while another change is under way or no entry
-  ///   of the leader's own term has committed.
+  /// Appends a membership that differs from the current one by at most one voter.
+  /// @return its index; kNotLeader, or kUnavailable while another change is uncommitted or no entry
+  ///   of the leader's own term has committed; kInvalid if more than one voter differs.
   common::Result<LogIndex> propose_membership(TimePoint now, const Membership& next);
-  /// Asks for a linearizable read point; the id comes back in reads_ready or reads_failed.
+  /// Requests a linearizable read point; the id is returned in reads_ready or reads_failed.
   void read_barrier(TimePoint now, std::uint64_t read_id);
-  /// Drops the log up to `applied` in favour of the state machine's snapshot.
+  /// Replaces the log up to `applied` by the state machine's snapshot, but keeps the most recent
+  /// entries for replicas that are slightly behind.
   void compact(LogIndex applied, std::string data);
 
+  /// @return the effects since the last call.
   RaftOutput take_output();
 
-  /// When tick() next has something to do, if no message comes before.
+  /// When tick() is next due, if no message arrives earlier.
   TimePoint next_due() const {
     return role_ == Role::kLeader ? next_heartbeat_ : election_deadline_;
   }
   Role role() const { return role_; }
   bool is_leader() const { return role_ == Role::kLeader; }
-  /// True where the leader's lease holds and an entry of its own term has committed.
+  /// True while the leader's lease holds and an entry of its own term has committed.
   bool has_leader_lease(TimePoint now) const;
-  /// When this replica last became leader; the clock's start where it never did.
+  /// When this replica last became leader; when it started if it never did.
   TimePoint leader_since() const { return leader_since_; }
   Term term() const { return hard_state_.term; }
   ReplicaId self() const { return self_; }
-  /// The leader as far as known; id 0 is none.
+  /// The known leader; id 0 if none is known.
   ReplicaId leader() const { return leader_; }
   LogIndex commit_index() const { return commit_; }
   LogIndex last_index() const;
   LogIndex snapshot_index() const { return snapshot_.index; }
   std::size_t log_size() const { return log_.size(); }
   const Membership& membership() const { return membership_; }
-  /// True while a membership entry waits for commitment.
+  /// True while a membership entry is uncommitted.
   bool membership_change_pending() const { return membership_index_ > commit_; }
-  /// Whatever was acknowledged to anybody before this moment is in the entries that this replica
-  /// has committed; nothing where that was never known. A leader's own is the present while its
-  /// lease holds (see has_leader_lease). A follower's is older by a heartbeat and its way.
+  /// The time as of which this replica is up to date: every entry acknowledged to any client before
+  /// this time is committed here. Empty if never known. Set on followers only, where the time lags
+  /// by a heartbeat interval and the network latency; a leader is up to date while its lease holds
+  /// (see has_leader_lease).
   std::optional<TimePoint> current_as_of() const { return current_as_of_; }
-  /// When the newest heartbeat that this peer answered was sent; nothing where none was.
+  /// When the newest heartbeat that this peer answered was sent, or when this replica became leader
+  /// if that is later; empty if neither is known.
   std::optional<TimePoint> last_contact(ReplicaId peer) const;
-  /// The last log index this peer is known to hold durably (leader only).
+  /// The last log index that this peer is known to have stored durably (leader only).
   LogIndex match_index(ReplicaId peer) const;
 
  private:
+  /// The leader's view of a peer's log.
   struct Progress {
     LogIndex match;
     LogIndex next;
@@ -122,15 +133,17 @@
     std::int64_t clock_us = 0;  ///< the peer's newest clock reading
     std::uint64_t snapshot_offset = 0;
     LogIndex snapshot_index;
-    bool waiting = false;  ///< entries are under way; send only heartbeats meanwhile
+    bool chunk_in_flight = false;  ///< send only empty chunks until the reply or a timeout
     TimePoint last_sent;
-    std::optional<TimePoint> heard;
+    std::optional<TimePoint> last_contact;  ///< see RaftNode::last_contact()
   };
+  /// A read that waits for a majority to confirm `round` and for `index` to commit.
   struct PendingRead {
     std::uint64_t read_id;
     std::uint64_t round;
     LogIndex index;
   };
+  /// A message that is sent once the persist request `sequence` is synced.
   struct DelayedMessage {
     std::uint64_t sequence;
     RaftMessage message;
@@ -146,7 +159,7 @@
   void handle(TimePoint now, const RaftMessage& message, const VoteReply& reply);
   bool may_vote(TimePoint now) const;
   void count_vote(TimePoint now, ReplicaId from, bool pre_vote);
-  bool log_is_current(LogIndex index, Term term) const;
+  bool is_log_up_to_date(LogIndex index, Term term) const;
 
   // Replication.
   void broadcast(TimePoint now);
@@ -157,19 +170,19 @@
   void handle(TimePoint now, const RaftMessage& message, const SnapshotChunk& chunk);
   void handle(TimePoint now, const RaftMessage& message, const SnapshotReply& reply);
   void append_local(TimePoint now, EntryKind kind, std::string payload);
-  /// Takes from a leader's message how far this replica is up to date.
-  void note_current(TimePoint now, const AppendRequest& request);
+  /// Advances current_as_of_ from a leader's message.
+  void update_current_as_of(TimePoint now, const AppendRequest& request);
   void accept_entries(const AppendRequest& request);
   void advance_commit(TimePoint now);
   void commit_up_to(LogIndex index);
-  void note_contact(ReplicaId from, std::uint64_t round);
+  void record_contact(ReplicaId from, std::uint64_t round);
   void check_quorum(TimePoint now);
   void release_reads();
 
   // Log and membership bookkeeping.
   std::optional<Term> term_at(LogIndex index) const;
   void truncate_from(LogIndex index);
-  void use_membership_of(const Entry& entry);
+  void apply_membership(const Entry& entry);
   void recompute_membership();
   void refresh_progress();
   std::uint64_t quorum_round() const;
@@ -193,20 +206,20 @@
   ReplicaId leader_;
   LogIndex commit_;
   std::optional<TimePoint> current_as_of_;
-  LogIndex durable_;  ///< own log is synced up to here
+  LogIndex durable_index_;  ///< the own log is synced up to this index
   TimePoint election_deadline_;
-  TimePoint quiet_until_;  ///< votes are refused before this time
+  TimePoint votes_refused_until_;  ///< votes are refused before this time
   TimePoint leader_since_;
-  LogIndex term_start_;  ///< the no-op that opened the leader's term
+  LogIndex term_start_;  ///< index of the no-op entry at the start of the leader's term
   TimePoint next_heartbeat_;
   TimePoint last_broadcast_;
   std::set<ReplicaId> votes_;
 
   std::map<ReplicaId, Progress> progress_;
   std::uint64_t round_ = 0;
-  std::map<std::uint64_t, TimePoint> round_sent_;
-  TimePoint lease_from_;  ///< send time of the newest round that a majority acknowledged
-  std::deque<PendingRead> reads_;
+  std::map<std::uint64_t, TimePoint> round_send_times_;
+  TimePoint lease_start_;  ///< send time of the newest round that a majority acknowledged
+  std::deque<PendingRead> pending_reads_;
 
   Snapshot incoming_;  ///< snapshot being received
   std::uint64_t sequence_ = 0;
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -1,4 +1,4 @@
-/// Elections of RaftNode: pre-vote, votes, leadership and its loss.
+/// Elections of RaftNode: pre-votes, votes, becoming leader and stepping down.
 
 #include <algorithm>
 #include <utility>
@@ -14,28 +14,28 @@
     request.hard_state = hard_state_;
     persist(std::move(request));
   }
-  for (const PendingRead& read : reads_) {
+  for (const PendingRead& read : pending_reads_) {
     output_.reads_failed.push_back(read.read_id);
   }
-  reads_.clear();
+  pending_reads_.clear();
   role_ = Role::kFollower;
   leader_ = leader;
   reset_election_timer(now);
 }
 
 void RaftNode::reset_election_timer(TimePoint now) {
-  const auto low = static_cast<std::uint64_t>(options_.minimum_election_timeout.count());
-  const auto high = static_cast<std::uint64_t>(options_.maximum_election_timeout.count());
-  election_deadline_ = now + Duration(common::uniform(random_, low, high));
+  const auto shortest = static_cast<std::uint64_t>(options_.minimum_election_timeout.count());
+  const auto longest = static_cast<std::uint64_t>(options_.maximum_election_timeout.count());
+  election_deadline_ = now + Duration(common::uniform(random_, shortest, longest));
 }
 
 bool RaftNode::may_vote(TimePoint now) const {
   if (!options_.refuse_early_votes) {
     return true;
   }
-  const bool own_lease =
-      role_ == Role::kLeader && now < lease_from_ + options_.minimum_election_timeout;
-  return now >= quiet_until_ && !own_lease;
+  const bool holds_lease =
+      role_ == Role::kLeader && now < lease_start_ + options_.minimum_election_timeout;
+  return now >= votes_refused_until_ && !holds_lease;
 }
 
 void RaftNode::start_pre_vote(TimePoint now) {
@@ -72,16 +72,17 @@
 }
 
 void RaftNode::handle(TimePoint now, const RaftMessage& message, const VoteRequest& request) {
-  const bool current = log_is_current(request.last_index, request.last_term);
+  const bool current = is_log_up_to_date(request.last_index, request.last_term);
   if (request.pre_vote) {
     const bool granted = current && message.term > hard_state_.term;
     const Term reply_term = granted ? message.term : hard_state_.term;
     output_.messages.push_back({self_, message.from, reply_term, VoteReply{true, granted}});
     return;
   }
-  const bool free_vote = hard_state_.voted_for.value == 0 || hard_state_.voted_for == message.from;
+  const bool vote_available =
+      hard_state_.voted_for.value == 0 || hard_state_.voted_for == message.from;
   const bool granted =
-      message.term == hard_state_.term && free_vote && current && role_ != Role::kLeader;
+      message.term == hard_state_.term && vote_available && current && role_ != Role::kLeader;
   if (granted && hard_state_.voted_for != message.from) {
     hard_state_.voted_for = message.from;
     PersistRequest persist_request;
@@ -103,8 +104,8 @@
 }
 
 void RaftNode::count_vote(TimePoint now, ReplicaId from, bool pre_vote) {
-  const Role wanted = pre_vote ? Role::kPreCandidate : Role::kCandidate;
-  if (role_ != wanted || !membership_.is_voter(from)) {
+  const Role required_role = pre_vote ? Role::kPreCandidate : Role::kCandidate;
+  if (role_ != required_role || !membership_.is_voter(from)) {
     return;
   }
   votes_.insert(from);
@@ -118,7 +119,7 @@
   }
 }
 
-bool RaftNode::log_is_current(LogIndex index, Term term) const {
+bool RaftNode::is_log_up_to_date(LogIndex index, Term term) const {
   const Term own_term = term_at(last_index()).value_or(Term());
   return term > own_term || (term == own_term && index >= last_index());
 }
@@ -127,31 +128,32 @@
   role_ = Role::kLeader;
   leader_ = self_;
   leader_since_ = now;
-  lease_from_ = TimePoint::min() + std::chrono::hours(1);
-  round_sent_.clear();
+  lease_start_ = TimePoint::min() + std::chrono::hours(1);
+  round_send_times_.clear();
   progress_.clear();
   refresh_progress();
   for (auto& [peer, progress] : progress_) {
-    progress.heard = now;
+    progress.last_contact = now;
   }
   append_local(now, EntryKind::kNoop, "");
   term_start_ = last_index();
 }
 
 void RaftNode::check_quorum(TimePoint now) {
-  std::size_t heard = 0;
+  std::size_t contacted = 0;
   for (const Member& member : membership_.members) {
     if (!member.voter) {
       continue;
     }
     const auto found = progress_.find(member.id);
-    const bool is_heard = found != progress_.end() && found->second.heard.has_value() &&
-                          now - *found->second.heard <= options_.maximum_election_timeout;
-    if (member.id == self_ || is_heard) {
-      ++heard;
+    const bool is_in_contact =
+        found != progress_.end() && found->second.last_contact.has_value() &&
+        now - *found->second.last_contact <= options_.maximum_election_timeout;
+    if (member.id == self_ || is_in_contact) {
+      ++contacted;
     }
   }
-  if (heard <= membership_.voters() / 2) {
+  if (contacted <= membership_.voters() / 2) {
     become_follower(now, hard_state_.term, ReplicaId());
   }
 }
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -1,4 +1,4 @@
-/// Replication of RaftNode: appends, snapshots, commitment, contact and reads.
+/// Replication of RaftNode: appends, snapshots, commits, contact times and reads.
 
 #include <algorithm>
 #include <utility>
@@ -8,7 +8,7 @@
 namespace planktray::consensus {
 namespace {
 
-/// A snapshot chunk without an answer is sent again after this many heartbeats.
+/// A snapshot chunk without a reply is sent again after this many heartbeat intervals.
 constexpr int kChunkResendHeartbeats = 10;
 
 LogIndex next_index(LogIndex index) { return LogIndex(index.value + 1); }
@@ -17,8 +17,8 @@
 
 void RaftNode::broadcast(TimePoint now) {
   ++round_;
-  round_sent_[round_] = now;
-  std::erase_if(round_sent_, [&](const auto& item) {
+  round_send_times_[round_] = now;
+  std::erase_if(round_send_times_, [&](const auto& item) {
     return now - item.second > options_.maximum_election_timeout;
   });
   next_heartbeat_ = now + options_.heartbeat;
@@ -26,7 +26,7 @@
   for (auto& [peer, progress] : progress_) {
     send_append(now, peer, progress);
   }
-  note_contact(self_, round_);
+  record_contact(self_, round_);
 }
 
 void RaftNode::send_append(TimePoint now, ReplicaId peer, Progress& progress) {
@@ -65,10 +65,10 @@
                       "",
                       round_};
   const bool resend = now - progress.last_sent > options_.heartbeat * kChunkResendHeartbeats;
-  if (is_new || resend || !progress.waiting) {
+  if (is_new || resend || !progress.chunk_in_flight) {
     chunk.bytes = snapshot_.data.substr(progress.snapshot_offset, options_.snapshot_chunk_bytes);
     progress.last_sent = now;
-    progress.waiting = true;
+    progress.chunk_in_flight = true;
   }
   send(peer, std::move(chunk));
 }
@@ -79,7 +79,7 @@
     return;
   }
   become_follower(now, message.term, message.from);
-  quiet_until_ = now + options_.minimum_election_timeout;
+  votes_refused_until_ = now + options_.minimum_election_timeout;
   const bool before_log =
       request.previous_index < commit_ && !term_at(request.previous_index).has_value();
   const bool matches = term_at(request.previous_index) == request.previous_term;
@@ -92,25 +92,24 @@
   const LogIndex match =
       request.entries.empty() ? request.previous_index : request.entries.back().index;
   commit_up_to(std::min(request.commit, match));
-  note_current(now, request);
+  update_current_as_of(now, request);
   const AppendReply reply{true, match, request.round, common::to_microseconds(now)};
   if (synced_sequence_ < sequence_) {
-    // That the leader was heard does not hang on the disk, only what is held does. With one reply
-    // for both, syncs of 0.25 to 1.2 s (250 processes on one machine) cost a leader its lead each
-    // time.
-    AppendReply heard = reply;
-    heard.match = LogIndex();
-    send(message.from, heard);
+    // Contact does not depend on the disk; only the stored entries do. A single reply after the
+    // sync made leaders step down at each sync of 0.25 to 1.2 s (250 processes on one machine).
+    AppendReply contact = reply;
+    contact.match = LogIndex();
+    send(message.from, contact);
   }
   send_after_sync(message.from, reply);
 }
 
-void RaftNode::note_current(TimePoint now, const AppendRequest& request) {
-  // The leader read this replica's clock before it sent `commit`, and nobody else could acknowledge
-  // anything by then: it held the lease.
+void RaftNode::update_current_as_of(TimePoint now, const AppendRequest& request) {
+  // The leader received this clock reading before it sent `commit`. It held the lease then, so no
+  // other replica could have acknowledged anything to a client.
   const TimePoint as_of = common::from_microseconds(request.echo_clock_us);
-  const bool was_read_here = request.echo_clock_us != 0 && as_of <= now;
-  if (!was_read_here || commit_ < request.commit) {
+  const bool is_own_reading = request.echo_clock_us != 0 && as_of <= now;
+  if (!is_own_reading || commit_ < request.commit) {
     return;
   }
   current_as_of_ = std::max(current_as_of_.value_or(as_of), as_of);
@@ -131,7 +130,7 @@
       persist_request.truncate_from = entry.index;
     }
     log_.push_back(entry);
-    use_membership_of(entry);
+    apply_membership(entry);
     persist_request.entries.push_back(entry);
   }
   if (!persist_request.entries.empty()) {
@@ -146,7 +145,8 @@
   }
   Progress& progress = found->second;
   if (reply.clock_us != 0) {
-    progress.clock_us = reply.clock_us;  // the newest word; its machine's clock may have begun anew
+    progress.clock_us =
+        reply.clock_us;  // may be lower than before: the clock restarts with the machine
   }
   if (reply.success) {
     progress.match = std::max(progress.match, reply.match);
@@ -155,13 +155,13 @@
   } else if (reply.round > 0) {
     progress.next = next_index(std::max(reply.match, progress.match));
     progress.snapshot_index = LogIndex();
-    // A peer that denies what it had acknowledged (a disk that lied, or an old late reply) would
-    // deny the next message too; heartbeats are often enough for it.
+    // A peer that rejects what it had acknowledged (its disk lost synced data, or the reply is
+    // outdated) would also reject the next message; the next heartbeat is soon enough.
     if (reply.match >= progress.match) {
       send_append(now, message.from, progress);
     }
   }
-  note_contact(message.from, reply.round);
+  record_contact(message.from, reply.round);
   if (role_ == Role::kLeader && reply.success && progress.next <= last_index()) {
     send_append(now, message.from, progress);
   }
@@ -172,7 +172,7 @@
     return;
   }
   become_follower(now, message.term, message.from);
-  quiet_until_ = now + options_.minimum_election_timeout;
+  votes_refused_until_ = now + options_.minimum_election_timeout;
   if (chunk.index <= commit_ || term_at(chunk.index) == chunk.snapshot_term) {
     commit_up_to(chunk.index);
     send_after_sync(message.from, SnapshotReply{chunk.index, chunk.total, true, chunk.round});
@@ -212,31 +212,31 @@
     progress.match = std::max(progress.match, reply.index);
     progress.next = std::max(progress.next, next_index(progress.match));
     progress.snapshot_index = LogIndex();
-    progress.waiting = false;
+    progress.chunk_in_flight = false;
     advance_commit(now);
-    note_contact(message.from, reply.round);
+    record_contact(message.from, reply.round);
     return;
   }
   const bool is_current = reply.index == progress.snapshot_index;
   if (is_current && reply.received != progress.snapshot_offset) {
     progress.snapshot_offset = reply.received;
-    progress.waiting = false;
+    progress.chunk_in_flight = false;
     send_append(now, message.from, progress);
   }
-  note_contact(message.from, reply.round);
+  record_contact(message.from, reply.round);
 }
 
 void RaftNode::append_local(TimePoint now, EntryKind kind, std::string payload) {
   Entry entry{next_index(last_index()), hard_state_.term, static_cast<std::uint8_t>(kind),
               std::move(payload)};
   log_.push_back(entry);
-  use_membership_of(entry);
+  apply_membership(entry);
   PersistRequest request;
   request.entries.push_back(std::move(entry));
   persist(std::move(request));
-  const bool may_wait =
+  const bool may_batch =
       kind == EntryKind::kCommand && now < last_broadcast_ + options_.batch_interval;
-  if (!may_wait) {
+  if (!may_batch) {
     return broadcast(now);
   }
   next_heartbeat_ = std::min(next_heartbeat_, last_broadcast_ + options_.batch_interval);
@@ -271,17 +271,18 @@
   }
 }
 
-void RaftNode::note_contact(ReplicaId from, std::uint64_t round) {
+void RaftNode::record_contact(ReplicaId from, std::uint64_t round) {
   const auto found = progress_.find(from);
-  const auto asked = round_sent_.find(round);
-  if (found != progress_.end() && asked != round_sent_.end()) {
-    // A late reply proves that the peer was there when it was asked, not that it is there now.
-    found->second.heard = std::max(found->second.heard.value_or(TimePoint()), asked->second);
+  const auto request_sent = round_send_times_.find(round);
+  if (found != progress_.end() && request_sent != round_send_times_.end()) {
+    // A late reply proves contact as of the send time of its round, not as of now.
+    found->second.last_contact =
+        std::max(found->second.last_contact.value_or(TimePoint()), request_sent->second);
     found->second.acknowledged_round = std::max(found->second.acknowledged_round, round);
   }
-  const auto sent = round_sent_.find(quorum_round());
-  if (sent != round_sent_.end()) {
-    lease_from_ = std::max(lease_from_, sent->second);
+  const auto quorum_sent = round_send_times_.find(quorum_round());
+  if (quorum_sent != round_send_times_.end()) {
+    lease_start_ = std::max(lease_start_, quorum_sent->second);
   }
   release_reads();
 }
@@ -306,9 +307,10 @@
 
 void RaftNode::release_reads() {
   const std::uint64_t confirmed = quorum_round();
-  while (!reads_.empty() && reads_.front().round <= confirmed && reads_.front().index <= commit_) {
-    output_.reads_ready.push_back(reads_.front().read_id);
-    reads_.pop_front();
+  while (!pending_reads_.empty() && pending_reads_.front().round <= confirmed &&
+         pending_reads_.front().index <= commit_) {
+    output_.reads_ready.push_back(pending_reads_.front().read_id);
+    pending_reads_.pop_front();
   }
 }
 
