--- a/test/consensus/raft_test.cpp
+++ b/test/consensus/raft_test.cpp
@@ -11,13 +11,13 @@
 
 TimePoint at(std::int64_t value) { return common::from_microseconds(value * 1000); }
 
-/// Three replicas whose messages and syncs are carried by hand.
+/// A cell whose messages and syncs are delivered by pump().
 struct Cell {
   std::vector<RaftNode> nodes;
   std::vector<std::vector<Entry>> committed;
-  std::set<std::size_t> cut;
-  std::vector<int> side;  ///< replicas of different sides do not hear each other
-  bool syncs = true;
+  std::set<std::size_t> cut;  ///< replicas without any connection
+  std::vector<int> side;      ///< replicas of different sides are disconnected from each other
+  bool syncs = true;          ///< whether disks complete their syncs
 
   explicit Cell(std::size_t replicas = kReplicas) : committed(replicas), side(replicas, 0) {
     Membership membership;
@@ -102,11 +102,10 @@
   }
 }
 
-/// Seen with 250 processes on one machine: leaders lost their lead every few seconds, and operators
-/// found none. Syncs took 0.25 to 1.2 s there; a follower that had entries to sync answered no
-/// heartbeat until then, so the leader took it for lost. Proved by the disk's times in the leaders'
-/// logs, beside timers that were hardly late.
-TEST_CASE("a leader keeps its lead while its followers' disks take long, and commits nothing") {
+/// Guards against loss of leadership while disks are slow. A follower with unsynced entries
+/// answered no heartbeat before the sync ended, so with syncs of 0.25 to 1.2 s (250 processes on
+/// one machine) leaders stepped down every few seconds and operators found no leader.
+TEST_CASE("a leader stays leader while its followers' disks are slow, and commits nothing") {
   Cell cell;
   cell.run(0, 1000);
   const std::size_t leader = *cell.leader(1000);
@@ -130,17 +129,18 @@
   }
 }
 
-/// Cuts five replicas in two at random moments, a leader with one follower now and then, while
-/// entries are proposed and every lease holder acknowledges what it has committed.
-/// @return how often a follower said that it was up to date as of a moment at which something had
-///   been acknowledged that it lacks.
+/// Partitions five replicas at random times, sometimes a leader with one follower, while entries
+/// are proposed and every lease holder acknowledges what it has committed.
+/// @param confirmations incremented for each current_as_of() that was checked.
+/// @return how often a follower reported to be up to date as of a time by which an entry that was
+///   not committed on the follower had been acknowledged.
 std::size_t false_confirmations(std::uint64_t seed, std::size_t& confirmations) {
   constexpr std::size_t kFive = 5;
   constexpr std::int64_t kStep = 10;
   constexpr std::int64_t kEnd = 12'000;
   Cell cell(kFive);
   common::RandomEngine random(seed);
-  std::vector<std::pair<std::int64_t, LogIndex>> acknowledged;  // by time, growing
+  std::vector<std::pair<std::int64_t, LogIndex>> acknowledged;  // in order of time
   std::size_t wrong = 0;
   for (std::int64_t time = 0; time < kEnd; time += kStep) {
     if (common::chance(random, 0.01)) {
@@ -176,7 +176,7 @@
   return wrong;
 }
 
-TEST_CASE("a follower knows as of when it lacks nothing that was acknowledged") {
+TEST_CASE("a follower has committed all that was acknowledged before its current_as_of") {
   std::size_t confirmations = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
@@ -185,7 +185,8 @@
   CHECK(confirmations > 10'000);
 }
 
-TEST_CASE("a follower in touch is up to date as of a heartbeat ago, one that is cut off is not") {
+TEST_CASE(
+    "a connected follower is up to date as of the last heartbeat, a disconnected one is not") {
   Cell cell;
   cell.run(0, 1000);
   const std::size_t leader = *cell.leader(1000);
@@ -197,7 +198,7 @@
   CHECK(*cell.nodes[follower].current_as_of() <= at(1000));
 }
 
-TEST_CASE("a leader that is cut off stops answering before another can lead") {
+TEST_CASE("a disconnected leader loses its lease before another replica can lead") {
   Cell cell;
   cell.run(0, 1000);
   const std::size_t old_leader = *cell.leader(1000);
@@ -219,10 +220,10 @@
   state.snapshot.index = LogIndex(1);
   state.snapshot.term = Term(1);
   RaftNode node(RaftOptions(), common::ReplicaId(1), state, common::RandomEngine(1), at(0));
-  const RaftMessage ask{common::ReplicaId(2), common::ReplicaId(1), Term(2),
-                        VoteRequest{true, LogIndex(9), Term(1)}};
+  const RaftMessage request{common::ReplicaId(2), common::ReplicaId(1), Term(2),
+                            VoteRequest{true, LogIndex(9), Term(1)}};
   const auto granted = [&](std::int64_t time) {
-    node.receive(at(time), ask);
+    node.receive(at(time), request);
     const RaftOutput output = node.take_output();
     for (const RaftMessage& message : output.messages) {
       if (const auto* reply = std::get_if<VoteReply>(&message.body.value)) {
@@ -235,34 +236,34 @@
   CHECK(granted(151));
 }
 
-TEST_CASE("contact counts from when the answered heartbeat was sent") {
+TEST_CASE("the last contact is the send time of the answered heartbeat") {
   Cell cell;
   cell.run(0, 1000);
   const std::size_t leader = *cell.leader(1000);
   const std::size_t peer = (leader + 1) % kReplicas;
   const auto before = cell.nodes[leader].last_contact(common::ReplicaId(peer + 1));
   REQUIRE(before.has_value());
-  // A reply to that old heartbeat arrives once more, much later.
+  // A duplicate reply to an old heartbeat arrives much later.
   const RaftMessage late{common::ReplicaId(peer + 1), common::ReplicaId(leader + 1),
                          cell.nodes[leader].term(), AppendReply{true, LogIndex(1), 1}};
   cell.nodes[leader].receive(at(1200), late);
   CHECK(*cell.nodes[leader].last_contact(common::ReplicaId(peer + 1)) == *before);
 }
 
-TEST_CASE("a replica that denies what it acknowledged is not answered without end") {
+TEST_CASE("a replica that rejects what it acknowledged gets no immediate retry") {
   Cell cell;
   cell.run(0, 1000);
   const std::size_t leader = *cell.leader(1000);
   const std::size_t peer = (leader + 1) % kReplicas;
   REQUIRE(cell.nodes[leader].propose(at(1000), "x").has_value());
   cell.run(1000, 1050);
-  const RaftMessage denial{common::ReplicaId(peer + 1), common::ReplicaId(leader + 1),
-                           cell.nodes[leader].term(), AppendReply{false, LogIndex(0), 1}};
-  cell.nodes[leader].receive(at(1051), denial);
+  const RaftMessage rejection{common::ReplicaId(peer + 1), common::ReplicaId(leader + 1),
+                              cell.nodes[leader].term(), AppendReply{false, LogIndex(0), 1}};
+  cell.nodes[leader].receive(at(1051), rejection);
   CHECK(cell.nodes[leader].take_output().messages.empty());
 }
 
-TEST_CASE("one membership change at a time, and only one step") {
+TEST_CASE("only one membership change at a time, and of at most one voter") {
   Cell cell;
   cell.run(0, 1000);
   RaftNode& leader = cell.nodes[*cell.leader(1000)];
