--- a/src/controller/core/range_controller.cpp
+++ b/src/controller/core/range_controller.cpp
@@ -26,8 +26,9 @@
   return std::min<Duration>(kPlanDelayPerRange * static_cast<std::int64_t>(ranges), kMaxPlanDelay);
 }
 
-/// Sets the noise rate: the variance of a load that is smoothed with this half-life, divided by the
-/// load: ln 2 / (2 half-lives), in 1/s.
+/// Returns the options with the noise rate of loads that are smoothed with this half-life. The
+/// noise rate is the variance of a smoothed load divided by the load: ln 2 / (2 half-lives), in
+/// 1/s.
 ownership::RangePlannerOptions with_noise_rate(ownership::RangePlannerOptions planner,
                                                Duration half_life) {
   planner.noise_rate = std::log(2.0) / (2.0 * std::chrono::duration<double>(half_life).count());
--- a/src/controller/core/table_distributor.hpp
+++ b/src/controller/core/table_distributor.hpp
@@ -106,8 +106,7 @@
   /// Makes a follower's answer to a hello, for routers that the leader does not answer in time.
   /// Keeps no state of the router.
   /// @param current_as_of every change acknowledged before this moment is in `state`.
-  /// @return nullopt if the router needs a snapshot: only the leader sends those, since it
-  /// bounds
+  /// @return nullopt if the router needs a snapshot: only the leader sends those, since it bounds
   ///   how many are in flight.
   std::optional<OutgoingTable> answer_as_follower(common::TimePoint now,
                                                   common::TimePoint current_as_of,
@@ -115,7 +114,7 @@
                                                   common::Term term,
                                                   const routing::RouterHello& hello);
 
-  /// When collect() next has a postponed update to send; TimePoint::max() where there is none.
+  /// When collect() next has a postponed update to send; TimePoint::max() if there is none.
   common::TimePoint next_due() const { return next_due_; }
 
   /// The index that every router that may be serving has acknowledged; nullopt while a new leader
