--- a/src/routing/crash_ledger.cpp
+++ b/src/routing/crash_ledger.cpp
@@ -9,24 +9,24 @@
     return false;
   }
   if (!entries_.contains(event.digest)) {
-    make_room();
+    evict_if_full();
   }
   Entry& entry = entries_[event.digest];
   const bool is_known_target =
       std::any_of(entry.events.begin(), entry.events.end(),
                   [&](const CrashEvent& other) { return other.backend == event.backend; });
   const bool is_full = entry.events.size() >= options_.max_events;
-  if (is_known_target || is_full || event.ended <= entry.forgiven) {
+  if (is_known_target || is_full || event.ended <= entry.last_answer) {
     return false;
   }
-  const auto place =
+  const auto position =
       std::upper_bound(entry.events.begin(), entry.events.end(), event,
                        [](const CrashEvent& a, const CrashEvent& b) { return a.ended < b.ended; });
-  entry.events.insert(place, event);
-  work_out_rows();
+  entry.events.insert(position, event);
+  update_sequences();
   entry.last_end = std::max(entry.last_end, event.ended);
   const bool is_blocked = entry.last_end < entry.blocked_until;
-  if (entry.row < options_.threshold || is_blocked) {
+  if (entry.consecutive < options_.threshold || is_blocked) {
     return false;
   }
   entry.block = entry.block.count() == 0 ? options_.first_block
@@ -35,41 +35,42 @@
   return true;
 }
 
-void CrashLedger::work_out_rows() {
-  Explained explained;
+void CrashLedger::update_sequences() {
+  Explanations explanations;
   for (const auto& [digest, entry] : entries_) {
     for (const CrashEvent& event : entry.events) {
-      std::size_t& most = explained[event.backend];
-      most = entry.events.size() >= options_.threshold ? std::max(most, entry.events.size()) : most;
+      std::size_t& largest = explanations[event.backend];
+      largest = entry.events.size() >= options_.threshold ? std::max(largest, entry.events.size())
+                                                          : largest;
     }
   }
   for (auto& [digest, entry] : entries_) {
-    const std::uint32_t since = longest_row(entry, explained, entry.adopted_at);
-    entry.row =
-        std::max(longest_row(entry, explained, common::TimePoint()), entry.adopted_row + since);
-    if (entry.row < options_.threshold) {
+    const std::uint32_t since_import = longest_sequence(entry, explanations, entry.imported_at);
+    entry.consecutive = std::max(longest_sequence(entry, explanations, common::TimePoint()),
+                                 entry.imported + since_import);
+    if (entry.consecutive < options_.threshold) {
       entry.blocked_until = common::TimePoint();
       entry.block = common::Duration(0);
     }
   }
 }
 
-std::uint32_t CrashLedger::longest_row(const Entry& entry, const Explained& explained,
-                                       common::TimePoint after) const {
-  // The one that ends first leaves the most room for others: greedy is longest.
-  std::uint32_t row = 0;
+std::uint32_t CrashLedger::longest_sequence(const Entry& entry, const Explanations& explanations,
+                                            common::TimePoint after) const {
+  // Taking the crash that ends first each time (greedy) gives the longest sequence.
+  std::uint32_t length = 0;
   common::TimePoint end;
   for (const CrashEvent& event : entry.events) {
-    const bool follows =
-        row == 0 || (event.sent + options_.overlap >= end && event.ended >= end + options_.spacing);
+    const bool follows = length == 0 || (event.sent + options_.overlap >= end &&
+                                         event.ended >= end + options_.spacing);
     const bool is_explained =
-        event.ended <= after || explained.at(event.backend) > entry.events.size();
+        event.ended <= after || explanations.at(event.backend) > entry.events.size();
     if (!is_explained && (follows || !options_.in_sequence)) {
-      ++row;
+      ++length;
       end = event.ended;
     }
   }
-  return row;
+  return length;
 }
 
 bool CrashLedger::record_answer(RequestDigest digest, common::TimePoint answered, bool remember) {
@@ -77,28 +78,28 @@
     if (!remember) {
       return false;
     }
-    make_room();
+    evict_if_full();
   }
   Entry& entry = entries_[digest];
   const bool was_suspect = is_suspect(entry);
-  const common::TimePoint newest = std::max(entry.forgiven, answered);
+  const common::TimePoint newest = std::max(entry.last_answer, answered);
   entry = Entry{};
-  entry.forgiven = newest;
+  entry.last_answer = newest;
   entry.last_end = newest;
   return was_suspect;
 }
 
 void CrashLedger::import_suspect(common::TimePoint now, const CrashSuspect& suspect) {
   if (!entries_.contains(suspect.digest)) {
-    make_room();
+    evict_if_full();
   }
   Entry& entry = entries_[suspect.digest];
-  if (entry.forgiven != common::TimePoint() || suspect.crashes <= entry.adopted_row) {
-    return;  // a good answer is known here, or another router has said as much
+  if (entry.last_answer != common::TimePoint() || suspect.crashes <= entry.imported) {
+    return;  // answered successfully since, or already imported from another router
   }
-  entry.adopted_row = std::min(suspect.crashes, options_.threshold);
-  entry.adopted_at = now;
-  entry.row = std::max(entry.row, entry.adopted_row);
+  entry.imported = std::min(suspect.crashes, options_.threshold);
+  entry.imported_at = now;
+  entry.consecutive = std::max(entry.consecutive, entry.imported);
   entry.last_end = std::max(entry.last_end, now);
   if (suspect.blocked_until > now) {
     entry.block = std::max(entry.block, options_.first_block);
@@ -119,8 +120,8 @@
 std::vector<CrashSuspect> CrashLedger::suspects() const {
   std::vector<CrashSuspect> suspects;
   for (const auto& [digest, entry] : entries_) {
-    if (entry.row > 0) {
-      suspects.push_back({digest, entry.row, entry.blocked_until});
+    if (entry.consecutive > 0) {
+      suspects.push_back({digest, entry.consecutive, entry.blocked_until});
     }
   }
   return suspects;
@@ -128,21 +129,22 @@
 
 void CrashLedger::expire(common::TimePoint now) {
   std::erase_if(entries_, [&](const auto& item) {
-    const common::Duration memory = item.second.row > 1 ? options_.memory : options_.single_memory;
+    const common::Duration memory =
+        item.second.consecutive > 1 ? options_.memory : options_.single_memory;
     return now >= item.second.blocked_until && now - item.second.last_end > memory;
   });
 }
 
-void CrashLedger::make_room() {
+void CrashLedger::evict_if_full() {
   if (entries_.size() < options_.max_requests) {
     return;
   }
   const auto oldest =
       std::min_element(entries_.begin(), entries_.end(), [](const auto& a, const auto& b) {
-        const auto age = [](const Entry& entry) {
+        const auto last_use = [](const Entry& entry) {
           return std::max(entry.last_end, entry.blocked_until);
         };
-        return age(a.second) < age(b.second);
+        return last_use(a.second) < last_use(b.second);
       });
   entries_.erase(oldest);
 }
--- a/src/routing/crash_suspects.cpp
+++ b/src/routing/crash_suspects.cpp
@@ -5,11 +5,11 @@
 namespace planktray::routing {
 namespace {
 
-CrashLedgerOptions own_options(const CrashSuspectsOptions& options) {
-  CrashLedgerOptions own = options.ledger;
-  own.first_block = options.local_block;
-  own.longest_block = options.local_block;
-  return own;
+CrashLedgerOptions local_options(const CrashSuspectsOptions& options) {
+  CrashLedgerOptions local = options.ledger;
+  local.first_block = options.local_block;
+  local.longest_block = options.local_block;
+  return local;
 }
 
 std::uint64_t age_us(common::TimePoint now, common::TimePoint then) {
@@ -19,7 +19,7 @@
 }  // namespace
 
 CrashSuspects::CrashSuspects(CrashSuspectsOptions options)
-    : options_(options), ledger_(own_options(options)) {}
+    : options_(options), ledger_(local_options(options)) {}
 
 bool CrashSuspects::on_connection_ended(const CrashEvent& event) {
   if (event.digest == 0 || !options_.is_enabled) {
@@ -46,7 +46,7 @@
   }
   const std::vector<CrashEvent> events = std::move(found->second);
   pending_.erase(found);
-  forget_old(now);
+  expire(now);
   bool completes = false;
   for (const CrashEvent& event : events) {
     ledger_.record_crash(event);
@@ -88,7 +88,7 @@
     term_ = term;
     report_again(own_);
     report_again(answered_);
-    take_over_list();
+    inherit_list();
   }
   const bool was_inherited_read =
       inherited_reported_ != common::TimePoint() && inherited_reported_ <= asked_at;
@@ -97,46 +97,46 @@
   }
   acknowledge(own_, asked_at);
   acknowledge(answered_, asked_at);
-  forget_old(now);
+  expire(now);
   listed_.clear();
   for (const SuspectRequest& suspect : listed) {
     const bool is_answered =
         std::any_of(answered_.begin(), answered_.end(), [&](const Kept<Answered>& kept) {
-          return kept.what.digest == suspect.digest && !kept.acknowledged;
+          return kept.item.digest == suspect.digest && !kept.acknowledged;
         });
-    if (!is_answered) {  // else the list is older than its good answer here
+    if (!is_answered) {  // the list does not include an answer that this router has not reported
       listed_[suspect.digest] = {suspect.digest, suspect.crashes,
                                  now + std::chrono::milliseconds(suspect.blocked_for_ms)};
     }
   }
 }
 
-void CrashSuspects::take_over_list() {
+void CrashSuspects::inherit_list() {
   inherited_.insert(listed_.begin(), listed_.end());
   inherited_reported_ = common::TimePoint();
 }
 
-template <typename What>
-void CrashSuspects::acknowledge(std::deque<Kept<What>>& kept, common::TimePoint asked_at) {
-  for (Kept<What>& item : kept) {
-    const bool was_read = item.reported != common::TimePoint() && item.reported <= asked_at;
-    item.acknowledged = item.acknowledged || was_read;
+template <typename Item>
+void CrashSuspects::acknowledge(std::deque<Kept<Item>>& kept, common::TimePoint asked_at) {
+  for (Kept<Item>& entry : kept) {
+    const bool was_read = entry.reported != common::TimePoint() && entry.reported <= asked_at;
+    entry.acknowledged = entry.acknowledged || was_read;
   }
 }
 
-template <typename What>
-void CrashSuspects::report_again(std::deque<Kept<What>>& kept) {
-  for (Kept<What>& item : kept) {
-    item.reported = common::TimePoint();
-    item.acknowledged = false;
+template <typename Item>
+void CrashSuspects::report_again(std::deque<Kept<Item>>& kept) {
+  for (Kept<Item>& entry : kept) {
+    entry.reported = common::TimePoint();
+    entry.acknowledged = false;
   }
 }
 
-void CrashSuspects::forget_old(common::TimePoint now) {
-  while (!own_.empty() && now - own_.front().what.ended > options_.ledger.memory) {
+void CrashSuspects::expire(common::TimePoint now) {
+  while (!own_.empty() && now - own_.front().item.ended > options_.ledger.memory) {
     own_.pop_front();
   }
-  while (!answered_.empty() && now - answered_.front().what.at > options_.ledger.memory) {
+  while (!answered_.empty() && now - answered_.front().item.at > options_.ledger.memory) {
     answered_.pop_front();
   }
   ledger_.expire(now);
@@ -161,39 +161,39 @@
   return options_.is_enabled && (ledger_.is_suspect(digest) || is_in(listed_) || is_in(inherited_));
 }
 
-template <typename What, typename Add>
-void CrashSuspects::report_each(common::TimePoint now, std::size_t most,
-                                std::deque<Kept<What>>& kept, const Add& add) {
-  for (Kept<What>& item : kept) {
-    if (most == 0) {
+template <typename Item, typename Add>
+void CrashSuspects::report_each(common::TimePoint now, std::size_t limit,
+                                std::deque<Kept<Item>>& kept, const Add& add) {
+  for (Kept<Item>& entry : kept) {
+    if (limit == 0) {
       return;
     }
-    if (item.acknowledged) {
+    if (entry.acknowledged) {
       continue;
     }
-    if (item.reported == common::TimePoint()) {
-      item.reported = now;
+    if (entry.reported == common::TimePoint()) {
+      entry.reported = now;
     }
-    add(item.what);
-    --most;
+    add(entry.item);
+    --limit;
   }
 }
 
-void CrashSuspects::report(common::TimePoint now, std::size_t most, RouterHello& hello) {
-  report_each(now, most, own_, [&](const CrashEvent& event) {
+void CrashSuspects::report(common::TimePoint now, std::size_t limit, RouterHello& hello) {
+  report_each(now, limit, own_, [&](const CrashEvent& event) {
     hello.crashes.push_back(
         {event.digest, event.backend, age_us(now, event.sent), age_us(now, event.ended)});
   });
   for (const auto& [digest, suspect] : inherited_) {
-    const auto left =
+    const auto remaining =
         std::chrono::duration_cast<std::chrono::milliseconds>(suspect.blocked_until - now).count();
-    const auto bounded = static_cast<std::uint32_t>(std::max<std::int64_t>(left, 0));
-    if (hello.suspects_listed.size() < most) {
-      hello.suspects_listed.push_back({digest, bounded, suspect.crashes});
+    const auto remaining_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(remaining, 0));
+    if (hello.suspects_listed.size() < limit) {
+      hello.suspects_listed.push_back({digest, remaining_ms, suspect.crashes});
     }
   }
   inherited_reported_ = inherited_reported_ == common::TimePoint() ? now : inherited_reported_;
-  report_each(now, most, answered_, [&](const Answered& answer) {
+  report_each(now, limit, answered_, [&](const Answered& answer) {
     hello.suspects_answered.push_back({answer.digest, age_us(now, answer.at)});
   });
 }
--- a/src/routing/crash_suspects.hpp
+++ b/src/routing/crash_suspects.hpp
@@ -1,9 +1,9 @@
 #pragma once
-/// One router's knowledge of requests that crash their targets: what it has seen itself, which it
-/// reports to the leader, and the leader's list, made of what all routers report.
+/// Requests that crash their targets, as known to one router: crashes that it has observed and
+/// reports to the leader, and the leader's list, which combines the reports of all routers.
 ///
-/// Nothing of it is on disk. Routers keep what they saw for `CrashLedgerOptions::memory` and report
-/// it again to each new leader, so that a list is made anew with the first hellos.
+/// Nothing is stored on disk. Routers keep their observations for `CrashLedgerOptions::memory` and
+/// report them again to each new leader, which rebuilds the list from the first hellos.
 
 #include <cstdint>
 #include <deque>
@@ -20,81 +20,88 @@
 
 struct CrashSuspectsOptions {
   CrashLedgerOptions ledger;
-  /// What this router finds alone is refused here for this long: until the leader's list has come.
+  /// How long this router refuses a request by its own ledger alone. Bridges the time until the
+  /// leader's list arrives.
   common::Duration local_block = std::chrono::milliseconds(3000);
-  /// An end of a connection of which it is not known whether its target ended is dropped after this
-  /// time. It takes one look at the target's address.
+  /// A lost connection is dropped after this time if it is still unknown whether its target ended,
+  /// which one probe of the target's address shows.
   common::Duration pending_memory = std::chrono::milliseconds(5000);
-  /// Events and good answers kept for the leader at most; the oldest go first.
+  /// Maximum number of crashes, and of successful answers, kept for the leader. The oldest are
+  /// dropped first.
   std::size_t max_kept = 256;
-  /// Safeguards; off only in mutants.
+  /// Safeguards; disabled only in mutants.
   bool is_enabled = true;
-  bool probes_target = true;  ///< an end of a connection alone is no crash
+  bool probes_target = true;  ///< a lost connection alone is no crash
 };
 
 class CrashSuspects {
  public:
   explicit CrashSuspects(CrashSuspectsOptions options);
 
-  /// A connection ended while a request waited. @return true where it is to be found out whether
-  /// its target has ended, by on_target_gone() or on_target_alive().
+  /// A connection ended while a request waited. @return true if the caller is to probe the target
+  /// and report the result by on_target_gone() or on_target_alive().
   bool on_connection_ended(const CrashEvent& event);
-  /// The target has ended. @return true where the leader should hear of it soon: it may complete
-  /// rows.
+  /// The target has ended. @return true if the leader should receive the report early, since it may
+  /// complete a sequence of crashes.
   bool on_target_gone(common::TimePoint now, common::BackendId target);
-  /// The target lives: its connections ended for other reasons.
+  /// The target is alive: its connections ended for other reasons.
   void on_target_alive(common::BackendId target) { pending_.erase(target); }
-  /// A target has run the request to an answer.
+  /// A target has answered the request.
   void on_answered(common::TimePoint now, RequestDigest digest);
-  /// The leader's list, by its time; @param asked_at when the hello was sent that it had read.
+  /// Replaces the leader's list. @param asked_at when the newest hello that the leader had read for
+  /// the list was sent.
   void on_leader_list(common::TimePoint now, common::TimePoint asked_at, common::Term term,
                       const std::vector<SuspectRequest>& listed);
-  /// True where answers and arrivals are to be compared with suspects: their digests are needed.
+  /// True if there are suspects to compare answers and arriving requests with, so that their
+  /// digests are needed.
   bool any() const { return !listed_.empty() || !inherited_.empty() || !own_.empty(); }
-  /// True where one crash more has it refused, with those that are not known to be crashes yet.
+  /// Like is_suspect(), but also counts lost connections whose targets have not been probed yet.
   bool may_be_suspect(RequestDigest digest) const;
   bool is_blocked(common::TimePoint now, RequestDigest digest) const;
-  /// True where one crash more has it refused: it is not repeated by this router.
+  /// True if one more crash causes the request to be refused. This router does not retry it.
   bool is_suspect(RequestDigest digest) const;
-  /// Adds what the leader has not acknowledged yet, `most` of each kind at most.
-  void report(common::TimePoint now, std::size_t most, RouterHello& hello);
+  /// Adds to `hello` what the leader has not acknowledged yet, at most `limit` items of each kind.
+  void report(common::TimePoint now, std::size_t limit, RouterHello& hello);
+  /// Number of requests that the leader's list refuses now.
   std::size_t blocked(common::TimePoint now) const;
 
  private:
-  template <typename What>
+  template <typename Item>
   struct Kept {
-    What what;
-    common::TimePoint reported;  ///< in the hello that was sent then, first to this leader
-    bool acknowledged = false;   ///< this leader has read it
+    Item item;
+    common::TimePoint reported;  ///< time of the first hello to this leader with the item
+    bool acknowledged = false;   ///< this leader has read the item
   };
   struct Answered {
     RequestDigest digest = 0;
     common::TimePoint at;
   };
-  template <typename What>
-  static void acknowledge(std::deque<Kept<What>>& kept, common::TimePoint asked_at);
-  /// The leader is another one, and knows nothing.
-  template <typename What>
-  static void report_again(std::deque<Kept<What>>& kept);
-  /// Calls `add` for each that the leader has not acknowledged.
-  template <typename What, typename Add>
-  void report_each(common::TimePoint now, std::size_t most, std::deque<Kept<What>>& kept,
+  template <typename Item>
+  static void acknowledge(std::deque<Kept<Item>>& kept, common::TimePoint asked_at);
+  /// Marks all items as not reported, since a new leader has none of them.
+  template <typename Item>
+  static void report_again(std::deque<Kept<Item>>& kept);
+  /// Calls `add` for each item that the leader has not acknowledged, at most `limit` times.
+  template <typename Item, typename Add>
+  void report_each(common::TimePoint now, std::size_t limit, std::deque<Kept<Item>>& kept,
                    const Add& add);
-  void forget_old(common::TimePoint now);
-  void take_over_list();
+  void expire(common::TimePoint now);
+  /// Keeps the previous leader's list until the new leader has read it.
+  void inherit_list();
 
   CrashSuspectsOptions options_;
   CrashLedger ledger_;  ///< of this router's own events
+  /// Lost connections whose targets have not been probed yet.
   std::map<common::BackendId, std::vector<CrashEvent>> pending_;
   std::deque<Kept<CrashEvent>> own_;
   std::deque<Kept<Answered>> answered_;
   common::Term term_;
   using List = std::unordered_map<RequestDigest, CrashSuspect>;
   List listed_;
-  /// The list of the leader before, until the present one has read it: it may be the only place
-  /// that knows, where the routers that saw the crashes have restarted.
+  /// The list of the previous leader, until the current leader has read it. It is the only copy if
+  /// the routers that observed the crashes have restarted.
   List inherited_;
-  common::TimePoint inherited_reported_;
+  common::TimePoint inherited_reported_;  ///< time of the first hello to this leader with it
 };
 
 }  // namespace planktray::routing
