--- a/src/controller/core/fleet_backoffs.cpp
+++ b/src/controller/core/fleet_backoffs.cpp
@@ -17,7 +17,7 @@
   router.last_hello = now;
   router.backoff_ends.clear();
   for (const routing::BackoffReport& report : hello.backoffs) {
-    router.backoff_ends[report.backend] = now + std::chrono::milliseconds(report.left_ms);
+    router.backoff_ends[report.backend] = now + std::chrono::milliseconds(report.remaining_ms);
   }
 }
 
--- a/src/routing/table_messages.hpp
+++ b/src/routing/table_messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// What controllers tell routers: the routing table as a snapshot or as deltas, each with the log
-/// index it was taken at, and what routers tell controllers.
+/// Messages between controllers and routers: the routing table as a snapshot or as deltas, each
+/// with its log index, and the routers' hellos.
 
 #include <cstdint>
 #include <map>
@@ -29,12 +29,12 @@
   common::ZoneName zone;
   common::Incarnation incarnation;
   bool draining = false;
-  common::PoolName pool{};  ///< self-registered: the name of its service
-  std::uint32_t slots = 0;  ///< requests it runs at once; 0: as its service says
-  bool cold = false;        ///< it is slow, and bears few requests a second
+  common::PoolName pool{};  ///< service name if self-registered
+  std::uint32_t slots = 0;  ///< concurrent requests; 0: as configured for the service
+  bool cold = false;        ///< slow after its start, accepts only a low request rate
   bool self_registered = false;
-  bool ended = false;  ///< its address has another incarnation: it gets nothing
-  /// True where it may get requests of any kind.
+  bool ended = false;  ///< its address has another incarnation: gets no requests
+  /// True if the back end may get requests.
   bool takes_work() const { return !draining && !ended; }
   MSGPACK_DEFINE_ARRAY(id, machine, address, zone, incarnation, draining, pool, slots, cold,
                        self_registered, ended)
@@ -47,7 +47,7 @@
   MSGPACK_DEFINE_ARRAY(id, config, targets)
 };
 
-/// Where one shard is. A moving shard takes no requests until its next owner is known.
+/// Owner of one shard. A moving shard gets no requests until its next owner is known.
 struct ShardRoute {
   ServiceId service;
   ShardNumber shard;
@@ -71,7 +71,7 @@
   MSGPACK_DEFINE_ARRAY(id, config)
 };
 
-/// Who gets the requests for keys `first` to `last`; 0 while nobody does.
+/// Owner of the keys `first` to `last`; 0 if they have none.
 struct KeyRangeRoute {
   ServiceId service;
   std::uint32_t first = 0;
@@ -80,22 +80,22 @@
   MSGPACK_DEFINE_ARRAY(service, first, last, owner)
 };
 
-/// Whether requests are kept off the back ends of a zone. Where that is taken back, all back ends
-/// that the table has there become cold.
+/// Whether a zone is evacuated, so that its back ends get no requests. When the evacuation ends,
+/// all back ends of the zone in the table become cold.
 struct ZoneRoute {
   common::ZoneName zone;
   bool evacuated = false;
   MSGPACK_DEFINE_ARRAY(zone, evacuated)
 };
 
-/// A back end that turns cold, or is warm again.
+/// A back end that has become cold or warm.
 struct WarmthRoute {
   BackendId backend;
   bool cold = false;
   MSGPACK_DEFINE_ARRAY(backend, cold)
 };
 
-/// Changes of the table from one log index to another; a snapshot starts from nothing.
+/// Changes of the table from one log index to another. A snapshot replaces the whole table.
 struct TableDelta {
   bool is_snapshot = false;
   LogIndex from;
@@ -111,7 +111,7 @@
   std::vector<RoutedServiceRoute> routed_services;
   std::vector<ServiceId> removed_routed_services;
   std::vector<KeyRangeRoute> ranges;
-  std::vector<config::RequestLimits> limits;  ///< one at most
+  std::vector<config::RequestLimits> limits;  ///< at most one
   std::uint64_t routes_version = 0;           ///< 0: unchanged
   std::vector<ZoneRoute> zones;
   std::vector<WarmthRoute> warmth;
@@ -119,11 +119,11 @@
                        removed_services, shards, tenants, routes, removed_routes, routed_services,
                        removed_routed_services, ranges, limits, routes_version, zones, warmth)
 
-  /// True where nothing changes but the index.
+  /// True if nothing changes but the index.
   bool empty() const;
 };
 
-/// Requests that a router saw for one key since its last report.
+/// Requests for one key at a router since its last report.
 struct KeyLoad {
   ServiceId service;
   std::uint32_t key = 0;
@@ -131,89 +131,89 @@
   MSGPACK_DEFINE_ARRAY(service, key, requests)
 };
 
-/// How long a router's requests took at one back end since its last report, without waiting there,
-/// and what the back end said of its queue meanwhile.
+/// Mean work time of a router's requests at one back end since its last report, without queueing,
+/// and the queue lengths that the back end has stated since then.
 struct TargetTime {
   BackendId backend;
-  std::uint32_t time_us = 0;  ///< mean; 0 where nothing was answered
-  std::uint32_t samples = 0;  ///< answered requests
-  std::uint32_t reports = 0;  ///< answers and refusals that told the queue
-  std::uint32_t waiting = 0;  ///< sum over the reports of requests that waited there
+  std::uint32_t time_us = 0;  ///< mean; 0 without answers
+  std::uint32_t samples = 0;  ///< number of answered requests
+  std::uint32_t reports = 0;  ///< answers and refusals that stated the queue length
+  std::uint32_t waiting = 0;  ///< sum of the queue lengths over the reports
   MSGPACK_DEFINE_ARRAY(backend, time_us, samples, reports, waiting)
 };
 
-/// Limits named in one hello or update at most.
+/// Maximum number of limits in one hello or update.
 inline constexpr std::size_t kMaxLimits = 256;
 
-/// What a back end has told one router of its limit: so many requests a second from all routers
-/// together, or that it names none any more.
+/// The limit that a back end has stated to one router, for the requests per second of all routers
+/// together, or the end of its limit.
 struct LimitReport {
   BackendId backend;
   bool is_limited = false;
   double per_second = 0;
-  std::uint64_t age_us = 0;  ///< since an answer said so
+  std::uint64_t age_us = 0;  ///< time since the answer that stated it
   MSGPACK_DEFINE_ARRAY(backend, is_limited, per_second, age_us)
 };
 
-/// A limit that a back end names, as the leader knows it from all routers.
+/// The limit of a back end, combined by the leader from the reports of all routers.
 struct TargetLimit {
   BackendId backend;
   double per_second = 0;
   bool has_admission = false;
-  /// Part of the requests for its keys that each router may send.
+  /// Share of its requests for the back end's keys that each router may send.
   double admission = 1;
   MSGPACK_DEFINE_ARRAY(backend, per_second, has_admission, admission)
 };
 
-/// Crowded owners named in one update at most.
+/// Maximum number of crowded owners in one update.
 inline constexpr std::size_t kMaxCrowdedOwners = 256;
 
-/// An owner of keys whose queue is too long: the part of the requests for its keys that each router
-/// may send.
+/// A crowded owner of keys, whose queue is too long, and the share of the requests for its keys
+/// that each router may send.
 struct AdmittedShare {
   BackendId backend;
   std::uint32_t permille = 1000;
   MSGPACK_DEFINE_ARRAY(backend, permille)
 };
 
-/// Requests that crash their targets named in one update, and crashes in one hello, at most.
+/// Maximum number of suspect requests in one update, and of crashes in one hello.
 inline constexpr std::size_t kMaxSuspects = 64;
 
 /// A connection to a back end ended while a request waited there for its answer.
 struct CrashReport {
-  std::uint64_t digest = 0;  ///< of the request: see RequestDigest
+  std::uint64_t digest = 0;  ///< see RequestDigest
   BackendId backend;
-  std::uint64_t sent_age_us = 0;   ///< since it was sent there
-  std::uint64_t ended_age_us = 0;  ///< since the connection ended
+  std::uint64_t sent_age_us = 0;   ///< time since the request was sent
+  std::uint64_t ended_age_us = 0;  ///< time since the connection ended
   MSGPACK_DEFINE_ARRAY(digest, backend, sent_age_us, ended_age_us)
 };
 
-/// A request that was listed as crashing its targets has had a good answer.
+/// A request that was listed as suspect has been answered successfully.
 struct AnsweredSuspect {
   std::uint64_t digest = 0;
-  std::uint64_t age_us = 0;  ///< since the answer
+  std::uint64_t age_us = 0;  ///< time since the answer
   MSGPACK_DEFINE_ARRAY(digest, age_us)
 };
 
-/// A request that has crashed targets; to be refused for `blocked_for_ms` (0: only watched).
+/// A request that has crashed targets, and for how long it is refused (0: not refused yet).
 struct SuspectRequest {
   std::uint64_t digest = 0;
   std::uint32_t blocked_for_ms = 0;
-  std::uint32_t crashes = 0;  ///< in a row
+  std::uint32_t crashes = 0;  ///< consecutive
   MSGPACK_DEFINE_ARRAY(digest, blocked_for_ms, crashes)
 };
 
-/// Back ends named in one hello at most that have asked to be left alone.
+/// Maximum number of requested backoffs in one hello.
 inline constexpr std::size_t kMaxBackoffs = 64;
 
-/// An owner of keys that wants nothing from this router for a while.
+/// A backoff that an owner of keys has requested from this router.
 struct BackoffReport {
   BackendId backend;
-  std::uint32_t left_ms = 0;
-  MSGPACK_DEFINE_ARRAY(backend, left_ms)
+  std::uint32_t remaining_ms = 0;
+  MSGPACK_DEFINE_ARRAY(backend, remaining_ms)
 };
 
-/// Requests that a router saw for one shard since its last report.
+/// Requests for one shard at a router since its last report.
 struct ShardLoad {
   ServiceId service;
   ShardNumber shard;
@@ -221,25 +221,26 @@
   MSGPACK_DEFINE_ARRAY(service, shard, requests)
 };
 
-/// Router to every controller, as heartbeat, acknowledgement and load report in one.
+/// Message from a router to controllers: heartbeat, acknowledgement and load report.
 struct RouterHello {
   common::CellName cell;
   common::RouterName router;
-  std::string address;        ///< where callers reach it, for the operators' view
-  std::int64_t clock_us = 0;  ///< the router's clock at sending, echoed back
-  LogIndex table_index;       ///< the table the router serves from; 0 is none
+  std::string address;        ///< for callers; shown to operators
+  std::int64_t clock_us = 0;  ///< the router's clock when sending; echoed in updates
+  LogIndex table_index;       ///< index of the router's table; 0: none
   bool serving = false;
   std::vector<ShardLoad> loads;
   std::vector<KeyLoad> key_loads;
   std::vector<TargetTime> target_times;
-  /// Back ends at whose address another incarnation has answered, and named itself.
+  /// Back ends at whose address another incarnation has answered and identified itself.
   std::vector<BackendId> ended;
-  bool lacks_update = false;  ///< an update has come that does not lead on from this table
+  bool lacks_update = false;  ///< an update was received that leaves a gap
   std::vector<LimitReport> limits;
   std::vector<CrashReport> crashes;
   std::vector<AnsweredSuspect> suspects_answered;
-  std::vector<SuspectRequest> suspects_listed;  ///< by a leader before this one
-  /// Back ends that said in an answer that they are leaving, and that the table has as taking work.
+  std::vector<SuspectRequest> suspects_listed;  ///< by a previous leader
+  /// Back ends that have stated in an answer that they are leaving, but still get requests
+  /// according to the table.
   std::vector<BackendId> leaving;
   std::vector<BackoffReport> backoffs;
   MSGPACK_DEFINE_ARRAY(cell, router, address, clock_us, table_index, serving, loads, key_loads,
@@ -247,30 +248,30 @@
                        suspects_listed, leaving, backoffs)
 };
 
-/// Controller to router: confirmation that the table is current, and what changed.
+/// Message from a controller to a router: confirms that the table is current, with its changes.
 struct TableUpdate {
   common::CellName cell;
   common::Term term;
-  std::int64_t echo_clock_us = 0;  ///< from the newest hello
-  LogIndex base_index;             ///< the deltas lead on from here; 0: a snapshot comes first
-  LogIndex current_index;          ///< index the leader has applied
-  std::uint32_t router_rank = 0;   ///< this router's place among the live ones, from 0
-  std::uint32_t router_count = 1;  ///< live routers, for subsets of targets
+  std::int64_t echo_clock_us = 0;  ///< `clock_us` of the newest hello
+  LogIndex base_index;             ///< index before the deltas; 0: the first is a snapshot
+  LogIndex current_index;          ///< index that the leader has applied
+  std::uint32_t router_rank = 0;   ///< rank of this router among the live routers, from 0
+  std::uint32_t router_count = 1;  ///< number of live routers, for subsets of targets
   SharedList<TableDelta> deltas;
-  std::uint32_t hello_interval_ms = 0;  ///< the leader asks for hellos this far apart; 0: any
-  /// In the router's clock: what was acknowledged to anybody before this moment is in the table at
-  /// `current_index`. 0: the sender cannot tell.
+  std::uint32_t hello_interval_ms = 0;  ///< requested by the leader; 0: any
+  /// Time of the router's clock: the table at `current_index` contains every change that was
+  /// acknowledged before. 0: not known to the sender.
   std::int64_t as_of_clock_us = 0;
-  /// The sender follows; it tells what it has committed and nothing of the fleet, and extends no
-  /// table lease: `router_rank`, `router_count`, `hello_interval_ms` and `echo_clock_us` say
-  /// nothing.
+  /// The sender is a follower. It sends committed changes but has no data about the fleet, and does
+  /// not extend the table lease: `router_rank`, `router_count`, `hello_interval_ms` and
+  /// `echo_clock_us` have no meaning.
   bool by_follower = false;
   std::vector<TargetLimit> limits;
-  /// True where `limits` holds all that the leader knows; never from followers.
+  /// True if `limits` contains all limits that the leader knows; never set by followers.
   bool limits_are_complete = false;
-  /// Not from followers.
+  /// Never set by followers.
   std::vector<SuspectRequest> suspects;
-  /// All other owners are not crowded, where queues are known; never from followers.
+  /// All crowded owners, if `queues_are_known`; never set by followers.
   std::vector<AdmittedShare> crowded;
   bool queues_are_known = false;
   MSGPACK_DEFINE_ARRAY(cell, term, echo_clock_us, base_index, current_index, router_rank,
@@ -278,13 +279,13 @@
                        limits_are_complete, suspects, crowded, queues_are_known)
 };
 
-/// Follower to router, in place of an answer to its hello: where the controllers of the cell are.
-/// A router starts with a few of them only, and the leader may be another.
+/// Message from a follower to a router, in place of an answer to its hello: the addresses of the
+/// cell's controllers. A router starts with only a few of them, which may not include the leader.
 struct ControllerList {
   common::CellName cell;
-  std::vector<std::string> addresses;  ///< "IP:port" of their sockets for peers
-  common::Term term{};                 ///< the newest that the sender knows
-  std::string leader{};                ///< address of its leader; empty: none is known
+  std::vector<std::string> addresses;  ///< "IP:port" for peer connections
+  common::Term term{};                 ///< newest term that the sender knows
+  std::string leader{};                ///< address of the leader of `term`; empty: not known
   MSGPACK_DEFINE_ARRAY(cell, addresses, term, leader)
 };
 
