--- a/src/routing/even_share.hpp
+++ b/src/routing/even_share.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// One of a stream of requests is let through in every 1 / part, from a random one on: as even as
-/// it can be, and routers differ.
+/// Admits a fixed share of a stream of requests at even spacing: one in every 1 / share. The start
+/// is random, so that routers do not admit requests in step.
 
 #include <optional>
 
@@ -10,18 +10,18 @@
 
 class EvenShare {
  public:
-  /// Whether one more request is let through. @param part of the requests; at most 1.
-  bool admits(double part, common::RandomEngine& random) {
-    credit_ = credit_.value_or(common::uniform_real(random)) + part;
+  /// Whether the next request is admitted. @param share of the requests to admit, at most 1.
+  bool admits(double share, common::RandomEngine& random) {
+    credit_ = credit_.value_or(common::uniform_real(random)) + share;
     const bool admitted = *credit_ >= 1;
     *credit_ -= admitted ? 1 : 0;
     return admitted;
   }
-  /// Begins anew at a random request.
+  /// Restarts at a random position.
   void reset() { credit_.reset(); }
 
  private:
-  std::optional<double> credit_;  ///< parts of requests that were not let through, below 1
+  std::optional<double> credit_;  ///< accumulated share, below 1 between calls
 };
 
 }  // namespace planktray::routing
--- a/src/routing/limited_targets.cpp
+++ b/src/routing/limited_targets.cpp
@@ -6,47 +6,47 @@
 namespace planktray::routing {
 
 LimitedTargets::LimitedTargets(LimitedTargetsOptions options)
-    : options_(options), parts_(RateShareOptions{.share = 1.0}) {}
+    : options_(options), equal_shares_(RateShareOptions{.share = 1.0}) {}
 
-bool LimitedTargets::on_answer(common::TimePoint now, BackendId target, const AnswerLimit& word) {
+bool LimitedTargets::on_answer(common::TimePoint now, BackendId target, const AnswerLimit& stated) {
   const auto found = targets_.find(target);
   const bool is_known = found != targets_.end();
-  if (!word.is_stated || (!is_known && !word.per_second.has_value())) {
+  if (!stated.is_stated || (!is_known && !stated.per_second.has_value())) {
     return false;
   }
   Target& entry = is_known ? found->second : targets_[target];
-  const bool is_news = entry.limit != word.per_second;
-  const bool falls =
-      word.per_second.has_value() && (!entry.limit.has_value() || *word.per_second < *entry.limit);
-  if (falls) {
-    entry.admission_until = common::TimePoint();  // worked out from a higher limit
+  const bool has_changed = entry.limit != stated.per_second;
+  const bool is_lowered = stated.per_second.has_value() &&
+                          (!entry.limit.has_value() || *stated.per_second < *entry.limit);
+  if (is_lowered) {
+    entry.admission_until = common::TimePoint();  // computed from a higher limit
   }
-  if (is_news) {
+  if (has_changed) {
     entry.reported.reset();
   }
-  entry.limit = word.per_second;
-  entry.heard = now;
-  return is_news;
+  entry.limit = stated.per_second;
+  entry.stated = now;
+  return has_changed;
 }
 
 void LimitedTargets::on_leader_list(common::TimePoint now, common::TimePoint asked_at,
                                     const std::vector<TargetLimit>& limits, bool is_complete) {
-  std::set<BackendId> listed;
-  for (const TargetLimit& told : limits) {
-    listed.insert(told.backend);
-    Target& target = targets_[told.backend];
-    if (is_ahead(target, asked_at) && target.limit != told.per_second) {
+  std::set<BackendId> listed_ids;
+  for (const TargetLimit& listed : limits) {
+    listed_ids.insert(listed.backend);
+    Target& target = targets_[listed.backend];
+    if (is_ahead(target, asked_at) && target.limit != listed.per_second) {
       continue;
     }
-    target.limit = told.per_second;
-    if (told.has_admission) {
-      target.admission = told.admission;
+    target.limit = listed.per_second;
+    if (listed.has_admission) {
+      target.admission = listed.admission;
       target.admission_until = now + options_.admission_lease;
-      parts_.forget(told.backend);
+      equal_shares_.forget(listed.backend);
     }
   }
   for (auto& [id, target] : targets_) {
-    if (is_complete && reports_all_ && !listed.contains(id) && !is_ahead(target, asked_at)) {
+    if (is_complete && reports_all_ && !listed_ids.contains(id) && !is_ahead(target, asked_at)) {
       target.limit.reset();
     }
   }
@@ -61,9 +61,9 @@
   return std::max(options_.share * target.limit.value_or(0), options_.min_rate);
 }
 
-bool LimitedTargets::is_spent(common::TimePoint now, const Target& target) const {
+bool LimitedTargets::is_expired(common::TimePoint now, const Target& target) const {
   return !target.limit.has_value() &&
-         (!target.heard.has_value() || now - *target.heard > options_.end_memory);
+         (!target.stated.has_value() || now - *target.stated > options_.end_memory);
 }
 
 std::optional<bool> LimitedTargets::admits(common::TimePoint now, BackendId owner,
@@ -82,30 +82,31 @@
 bool LimitedTargets::has_share(common::TimePoint now, BackendId target, std::uint32_t routers,
                                common::RandomEngine& random) {
   return !is_limited(target) ||
-         parts_.allows(now, target, planned_rate(targets_.at(target)), routers, random);
+         equal_shares_.allows(now, target, planned_rate(targets_.at(target)), routers, random);
 }
 
 void LimitedTargets::on_sent(common::TimePoint now, BackendId target, std::uint32_t routers) {
   if (is_limited(target) && now >= targets_.at(target).admission_until) {
-    parts_.on_sent(now, target, planned_rate(targets_.at(target)), routers);
+    equal_shares_.on_sent(now, target, planned_rate(targets_.at(target)), routers);
   }
 }
 
-std::vector<LimitReport> LimitedTargets::reports(common::TimePoint now, std::size_t most) {
+std::vector<LimitReport> LimitedTargets::reports(common::TimePoint now, std::size_t max_reports) {
   std::vector<LimitReport> reports;
-  std::size_t heard = 0;
-  for (const bool news : {true, false}) {  // what the leader has not been told goes first
+  std::size_t total = 0;
+  for (const bool takes_unreported : {true, false}) {  // limits that were not reported yet go first
     for (auto& [id, target] : targets_) {
-      const bool is_news = !target.reported.has_value() || *target.reported == now;
-      heard += target.heard.has_value() && is_news == news ? 1 : 0;
-      if (target.heard.has_value() && is_news == news && reports.size() < most) {
-        const auto age = static_cast<std::uint64_t>((now - *target.heard).count());
+      const bool is_unreported = !target.reported.has_value() || *target.reported == now;
+      total += target.stated.has_value() && is_unreported == takes_unreported ? 1 : 0;
+      if (target.stated.has_value() && is_unreported == takes_unreported &&
+          reports.size() < max_reports) {
+        const auto age = static_cast<std::uint64_t>((now - *target.stated).count());
         reports.push_back({id, target.limit.has_value(), target.limit.value_or(0), age});
         target.reported = target.reported.value_or(now);
       }
     }
   }
-  reports_all_ = reports.size() >= heard;
+  reports_all_ = reports.size() >= total;
   return reports;
 }
 
--- a/src/routing/rate_share.cpp
+++ b/src/routing/rate_share.cpp
@@ -5,10 +5,11 @@
 namespace planktray::routing {
 namespace {
 
-/// Intervals that differ by less count as the same: routers come and go one by one.
-constexpr double kChange = 1.5;
+/// Intervals that differ by a smaller factor count as unchanged, since the number of routers
+/// changes in small steps.
+constexpr double kSignificantChange = 1.5;
 
-common::Duration part_of(common::Duration interval, common::RandomEngine& random) {
+common::Duration random_fraction(common::Duration interval, common::RandomEngine& random) {
   const double drawn = common::uniform_real(random) * static_cast<double>(interval.count());
   return common::Duration(static_cast<common::Duration::rep>(drawn));
 }
@@ -17,7 +18,7 @@
 
 common::Duration RateShare::interval(double rate, std::uint32_t routers) const {
   constexpr double kMicrosecondsPerSecond = 1e6;
-  constexpr double kLongestSeconds = 1e6;  // a rate close to 0 would overflow
+  constexpr double kLongestSeconds = 1e6;  // prevents an overflow at rates close to 0
   const double seconds = std::max<std::uint32_t>(1, routers) / (options_.share * rate);
   return common::Duration(static_cast<common::Duration::rep>(std::min(seconds, kLongestSeconds) *
                                                              kMicrosecondsPerSecond));
@@ -29,28 +30,29 @@
     return true;
   }
   const common::Duration present = interval(rate, routers);
-  const auto [found, is_new] = parts_.try_emplace(target);
-  Part& part = found->second;
+  const auto [found, is_new] = slots_.try_emplace(target);
+  Slot& slot = found->second;
   if (is_new) {
-    part = {now + part_of(present, random), present};
+    slot = {now + random_fraction(present, random), present};
   }
-  bring_up_to_date(now, part, present, random);
-  return now >= part.next;
+  update(now, slot, present, random);
+  return now >= slot.next;
 }
 
-void RateShare::bring_up_to_date(common::TimePoint now, Part& part, common::Duration interval,
-                                 common::RandomEngine& random) const {
+void RateShare::update(common::TimePoint now, Slot& slot, common::Duration interval,
+                       common::RandomEngine& random) const {
   const double change =
       static_cast<double>(interval.count()) /
-      static_cast<double>(std::max<common::Duration::rep>(part.interval.count(), 1));
-  if (change > kChange) {
-    part = {now + part_of(interval, random), interval};  // moments drawn for a higher rate are many
-  } else if (change < 1 / kChange) {
-    part = {std::min(part.next, now + part_of(interval, random)), interval};
+      static_cast<double>(std::max<common::Duration::rep>(slot.interval.count(), 1));
+  if (change > kSignificantChange) {
+    // The routers' slots were drawn for a higher rate and are too many together.
+    slot = {now + random_fraction(interval, random), interval};
+  } else if (change < 1 / kSignificantChange) {
+    slot = {std::min(slot.next, now + random_fraction(interval, random)), interval};
   }
-  const bool is_over = interval > options_.open_for && now > part.next + options_.open_for;
-  if (is_over) {
-    part.next += interval * ((now - part.next - options_.open_for) / interval + 1);
+  const bool is_expired = interval > options_.open_for && now > slot.next + options_.open_for;
+  if (is_expired) {
+    slot.next += interval * ((now - slot.next - options_.open_for) / interval + 1);
   }
 }
 
@@ -60,10 +62,11 @@
     return;
   }
   const common::Duration present = interval(rate, routers);
-  Part& part = parts_[target];
-  // Counted from its moment, so that moments of different routers stay independent of demand.
-  const bool was_due = present > options_.open_for && part.interval.count() > 0 && now >= part.next;
-  part = {(was_due ? part.next : now) + present, present};
+  Slot& slot = slots_[target];
+  // Counted from the start of the used slot, so that the slots of different routers stay
+  // independent of the demand.
+  const bool was_due = present > options_.open_for && slot.interval.count() > 0 && now >= slot.next;
+  slot = {(was_due ? slot.next : now) + present, present};
 }
 
 }  // namespace planktray::routing
