--- a/src/routing/target_book.cpp
+++ b/src/routing/target_book.cpp
@@ -6,12 +6,12 @@
 namespace planktray::routing {
 namespace {
 
-/// A request that is outstanding for this many times its expected time speaks for a slower target.
+/// A request in flight for this many times its expected work time indicates a slower target.
 constexpr double kOverdueFactor = 2.0;
 
 double to_us(Duration value) { return static_cast<double>(value.count()); }
 
-/// How many times longer than its work a request takes where `ahead` others are at the target.
+/// Ratio of a request's latency to its work time with `ahead` other requests at the target.
 double queue_factor(double ahead, std::uint32_t slots) {
   return 1.0 + std::max(0.0, ahead + 1.0 - slots) / slots;
 }
@@ -23,10 +23,10 @@
   }
 }
 
-/// Time of work where a request took so long, freed of what is usually queued there.
-double usual_work_us(Duration took, const TargetView& target) {
+/// Work time of a request with the given latency, without the usual queueing delay at the target.
+double usual_work_us(Duration latency, const TargetView& target) {
   const double queued = static_cast<double>(target.outstanding.size()) + target.usual_others;
-  return to_us(took) / queue_factor(queued, target.slots);
+  return to_us(latency) / queue_factor(queued, target.slots);
 }
 
 }  // namespace
@@ -48,11 +48,12 @@
   if (report.has_value()) {
     take_report(now, target, *report);
   }
-  // What is there now is about what was there when the request came.
+  // The current load approximates the load at the arrival of the request.
   const double ahead = static_cast<double>(target.outstanding.size()) + target.others;
   const double work = to_us(now - sent) / target.pace / queue_factor(ahead, target.slots);
-  learn(now, target, work);
-  typical_us_ = typical_us_ == 0 ? work : typical_us_ + options_.weight / 4 * (work - typical_us_);
+  add_work_time(now, target, work);
+  typical_us_ =
+      typical_us_ == 0 ? work : typical_us_ + options_.sample_weight / 4 * (work - typical_us_);
   target.block = Duration(0);
   target.blocked_until = TimePoint();
 }
@@ -60,35 +61,35 @@
 void TargetBook::on_given_up(TimePoint now, BackendId id, TimePoint sent) {
   TargetView& target = targets_[id];
   erase_one(target.outstanding, sent);
-  const double least = usual_work_us(now - sent, target);
-  // A shorter time says nothing: the answer may have been as far off as usual.
-  if (least <= service_time_us(now, target)) {
+  const double lower_bound_us = usual_work_us(now - sent, target);
+  // A shorter time is no sample: the answer may have arrived in the usual time.
+  if (lower_bound_us <= work_time_us(now, target)) {
     return;
   }
-  target.samples.sum_us += least;
+  target.samples.sum_us += lower_bound_us;
   ++target.samples.count;
-  learn(now, target, least);
+  add_work_time(now, target, lower_bound_us);
 }
 
-void TargetBook::learn(TimePoint now, TargetView& target, double work_us) {
-  const double present = service_time_us(now, target);
-  target.time_us = present + options_.weight * (work_us - present);
-  target.learnt_at = now;
+void TargetBook::add_work_time(TimePoint now, TargetView& target, double work_us) {
+  const double present = work_time_us(now, target);
+  target.work_time_us = present + options_.sample_weight * (work_us - present);
+  target.learned_at = now;
 }
 
 void TargetBook::take_report(TimePoint now, TargetView& target, const LoadReport& report) {
   constexpr double kPercent = 100.0;
   const double seen = static_cast<double>(report.running) + report.waiting;
   target.others = std::max(0.0, seen - static_cast<double>(target.outstanding.size()));
-  target.usual_others += 2 * options_.weight * (target.others - target.usual_others);
+  target.usual_others += 2 * options_.sample_weight * (target.others - target.usual_others);
   target.pace = std::max(report.work_time_percent.value_or(100U), 1U) / kPercent;
   target.reported_at = now;
   ++target.samples.reports;
   target.samples.waiting += report.waiting;
   target.slots = report.slots > 0 ? report.slots : target.slots;
-  typical_.others += options_.weight / 4 * (target.others - typical_.others);
-  typical_.pace += options_.weight / 4 * (target.pace - typical_.pace);
-  typical_at_ = now;
+  typical_load_.others += options_.sample_weight / 4 * (target.others - typical_load_.others);
+  typical_load_.pace += options_.sample_weight / 4 * (target.pace - typical_load_.pace);
+  typical_load_at_ = now;
 }
 
 void TargetBook::on_refused(BackendId id, const LoadReport& report) {
@@ -97,13 +98,15 @@
   samples.waiting += report.waiting;
 }
 
-TargetBook::Belief TargetBook::belief(TimePoint now, const TargetView& target) const {
-  const double half_lives = to_us(now - target.reported_at) / to_us(options_.report_half);
+TargetBook::LoadEstimate TargetBook::estimate_load(TimePoint now, const TargetView& target) const {
+  const double half_lives = to_us(now - target.reported_at) / to_us(options_.report_half_life);
   const double kept = std::exp2(-half_lives);
-  const Duration unheard =
-      std::max<Duration>(Duration(0), now - typical_at_ - options_.typical_hold);
-  const double heard = std::exp2(-to_us(unheard) / to_us(options_.typical_half));
-  const Belief usual{typical_.others * heard, 1.0 + (typical_.pace - 1.0) * heard};
+  const Duration decay_time =
+      std::max<Duration>(Duration(0), now - typical_load_at_ - options_.typical_load_hold);
+  const double typical_kept =
+      std::exp2(-to_us(decay_time) / to_us(options_.typical_load_half_life));
+  const LoadEstimate usual{typical_load_.others * typical_kept,
+                           1.0 + (typical_load_.pace - 1.0) * typical_kept};
   return {usual.others + kept * (target.others - usual.others),
           usual.pace + kept * (target.pace - usual.pace)};
 }
@@ -133,13 +136,13 @@
   return found == targets_.end() ? nullptr : &found->second;
 }
 
-double TargetBook::service_time_us(TimePoint now, const TargetView& target) const {
+double TargetBook::work_time_us(TimePoint now, const TargetView& target) const {
   const double typical = typical_us_ > 0 ? typical_us_ : to_us(options_.initial_time);
   double time = typical;
-  if (target.time_us > 0) {
-    const double half_lives = to_us(now - target.learnt_at) / to_us(options_.forget_half);
+  if (target.work_time_us > 0) {
+    const double half_lives = to_us(now - target.learned_at) / to_us(options_.work_time_half_life);
     const double kept = std::exp2(-half_lives);
-    time = kept * target.time_us + (1.0 - kept) * typical;
+    time = kept * target.work_time_us + (1.0 - kept) * typical;
   } else if (target.is_cold) {
     time *= options_.cold_factor;
   }
@@ -152,8 +155,8 @@
     return options_.initial_time;
   }
   const TargetView& target = found->second;
-  const Belief present = belief(now, target);
-  double time = service_time_us(now, target) * present.pace;
+  const LoadEstimate present = estimate_load(now, target);
+  double time = work_time_us(now, target) * present.pace;
   if (!target.outstanding.empty()) {
     const double overdue = to_us(now - *target.outstanding.begin());
     time = overdue > kOverdueFactor * time ? overdue : time;
--- a/test/routing/target_book_test.cpp
+++ b/test/routing/target_book_test.cpp
@@ -1,4 +1,4 @@
-/// What a router believes of its targets, and for how long.
+/// A router's estimates of the latency of its targets, and how long reports influence them.
 
 #include "routing/target_book.hpp"
 
@@ -22,7 +22,7 @@
     book.add(near, kSlots, false);
     book.add(far, kSlots, false);
   }
-  /// A request of 100 ms ends at `time`, with this report.
+  /// A request that took 100 ms is answered at `time`, with this load report.
   void answer(std::int64_t time, BackendId id, const std::optional<LoadReport>& report) {
     book.on_sent(at(time - 100), id);
     book.on_answered(at(time), id, at(time - 100), report);
@@ -32,17 +32,17 @@
   }
 };
 
-TEST_CASE("a target that has just reported a queue is expected to be later, for a moment") {
+TEST_CASE("a reported queue increases the expected latency for a short time") {
   Fixture fixture;
   fixture.answer(0, fixture.near, LoadReport{3, 6, kSlots});
   fixture.answer(0, fixture.far, LoadReport{0, 0, kSlots});
   CHECK(fixture.expected_latency(1, fixture.near) > 2 * fixture.expected_latency(1, fixture.far));
-  // Seconds later both are as usual: what was seen then says nothing of now.
+  // Seconds later the old report no longer counts.
   const Duration later = fixture.expected_latency(4000, fixture.near);
   CHECK(later < fixture.expected_latency(1, fixture.near) / 2);
 }
 
-TEST_CASE("the pace that a target tells counts at once, and is not taken for its speed") {
+TEST_CASE("a reported pace applies at once and does not change the usual work time") {
   Fixture fixture;
   for (int i = 0; i < 40; ++i) {
     fixture.answer(i * 200, fixture.near, LoadReport{1, 0, kSlots, 100});
@@ -56,8 +56,8 @@
         fixture.expected_latency(11'000, fixture.far) * 3 / 2);
 }
 
-// Guards against routers that send nothing for good since all targets once seemed full.
-TEST_CASE("queues that nobody has heard of for long are taken for gone") {
+// Guards against routers that permanently send nothing after all targets once reported long queues.
+TEST_CASE("the typical load decays while there are no reports") {
   Fixture fixture;
   for (int i = 0; i < 200; ++i) {
     fixture.answer(i * 10, fixture.near, LoadReport{kSlots, 30, kSlots});
@@ -67,7 +67,7 @@
   CHECK(fixture.expected_latency(12'000, fixture.near) < milliseconds(30));
 }
 
-TEST_CASE("what a target does not tell is taken as usual") {
+TEST_CASE("missing reports are replaced by the typical load") {
   Fixture fixture;
   fixture.answer(0, fixture.near, std::nullopt);
   fixture.answer(0, fixture.far, LoadReport{0, 0, kSlots});
@@ -75,9 +75,9 @@
         fixture.expected_latency(1, fixture.far) * 11 / 10);
 }
 
-// Guards against a target that turns slow and goes on to look as fast as before, since none of its
-// answers comes in time.
-TEST_CASE("requests that nobody waits for any longer tell that their target is slow") {
+// Guards against a target that becomes slow but still looks fast, because none of its answers
+// arrives before the caller's deadline.
+TEST_CASE("abandoned requests show that their target is slow") {
   Fixture fixture;
   for (int i = 0; i < 20; ++i) {
     fixture.answer(i * 100, fixture.near, LoadReport{1, 0, kSlots});
@@ -91,16 +91,16 @@
   CHECK(fixture.book.outstanding(fixture.near) == 0);
   CHECK(fixture.expected_latency(4041, fixture.near) >
         3 * fixture.expected_latency(4041, fixture.far));
-  std::uint32_t told = 0;
+  std::uint32_t count = 0;
   fixture.book.take_samples([&](BackendId id, const WorkSamples& samples) {
     CHECK(id == fixture.near);
     CHECK(samples.sum_us / samples.count > 500'000);
-    told += samples.count;
+    count += samples.count;
   });
-  CHECK(told == 5);
+  CHECK(count == 5);
 }
 
-TEST_CASE("a request that is given up before its answer was due says nothing of its target") {
+TEST_CASE("a request abandoned before its answer is due is not a sample") {
   Fixture fixture;
   for (int i = 0; i < 20; ++i) {
     fixture.answer(i * 100, fixture.near, LoadReport{1, 0, kSlots});
@@ -110,12 +110,13 @@
   fixture.book.on_sent(at(2000), fixture.near);
   fixture.book.on_given_up(at(2050), fixture.near, at(2000));
   CHECK(fixture.expected_latency(2050, fixture.near) <= before);
-  bool has_told = false;
-  fixture.book.take_samples([&](BackendId /*id*/, const WorkSamples& /*s*/) { has_told = true; });
-  CHECK_FALSE(has_told);
+  bool has_samples = false;
+  fixture.book.take_samples(
+      [&](BackendId /*id*/, const WorkSamples& /*s*/) { has_samples = true; });
+  CHECK_FALSE(has_samples);
 }
 
-TEST_CASE("work times told to the leader do not make an owner that is behind look fast") {
+TEST_CASE("a long queue does not make an overloaded owner look fast to the leader") {
   Fixture fixture;
   fixture.answer(0, fixture.near, LoadReport{3, 9, kSlots});
   double sample_us = 0;
