--- a/src/routing/leader_search.hpp
+++ b/src/routing/leader_search.hpp
@@ -1,6 +1,7 @@
 #pragma once
-/// How a router finds the leader again once that is silent. The times do not depend on the size of
-/// the fleet: with a wait of two intervals between hellos, 281 routers kept old tables for 4.5 s.
+/// Timing of a router's search for the leader after hellos stay unanswered. The timeouts are
+/// independent of the fleet size. A timeout of two hello intervals, which grow with the fleet, left
+/// 281 routers with stale tables for 4.5 s.
 
 #include <chrono>
 #include <cstddef>
@@ -10,21 +11,21 @@
 namespace planktray::routing {
 
 struct LeaderSearchOptions {
-  /// A hello that the leader has not answered after this time is reason to ask other controllers
-  /// whom they follow. A leader in trouble was seen to take 0.6 s for a turn of its loop; asking
-  /// others does not add to that.
+  /// When the leader has not answered a hello within this time, the router asks other controllers
+  /// which leader they follow. One turn of an overloaded leader's event loop can take 0.6 s;
+  /// inquiries go to other controllers and do not add to the leader's load.
   common::Duration answer_timeout = std::chrono::milliseconds(500);
-  /// Others are asked again after this time, which doubles up to the maximum.
+  /// Inquiries are repeated after this time, which doubles up to `longest_inquiry_interval`.
   common::Duration inquiry_interval = std::chrono::milliseconds(250);
   common::Duration longest_inquiry_interval = std::chrono::milliseconds(1000);
-  /// Controllers that are asked at once.
+  /// Number of controllers asked per inquiry.
   std::size_t inquired_controllers = 3;
-  /// Routers that are told of a new leader say hello to it within this time, each at a moment of
-  /// its own: all of them lack what it has committed.
+  /// After the announcement of a new leader, each router sends its hello after a random delay up to
+  /// this time, so that routers, which all need the newly committed changes, do not send at once.
   common::Duration announcement_spread = std::chrono::milliseconds(200);
 
-  /// From the first hello that stays without an answer to the hello at the new leader, where the
-  /// second round of questions finds somebody who knows it.
+  /// Longest time from the first unanswered hello to the hello at the new leader, if a controller
+  /// that knows the new leader answers by the second inquiry.
   common::Duration longest() const {
     return answer_timeout + inquiry_interval + announcement_spread;
   }
--- a/src/routing/table_freshness.cpp
+++ b/src/routing/table_freshness.cpp
@@ -24,10 +24,10 @@
 
 TableStatus TableFreshness::status(common::TimePoint now, common::Duration extra) const {
   const auto table_age = age(now);
-  const common::Duration oldest =
+  const common::Duration max_age =
       std::max(options_.max_age - extra, std::min(options_.max_age, options_.shortest_max_age));
-  const bool is_young = table_age.has_value() && *table_age <= oldest;
-  if (options_.max_age.count() == 0 || is_young) {
+  const bool is_fresh = table_age.has_value() && *table_age <= max_age;
+  if (options_.max_age.count() == 0 || is_fresh) {
     return TableStatus::kCurrent;
   }
   const bool lost_contact =
--- a/src/routing/table_freshness.hpp
+++ b/src/routing/table_freshness.hpp
@@ -1,15 +1,15 @@
 #pragma once
-/// Whether a router may decide with the table that it has.
+/// Decides whether a router's table is fresh enough to route requests with.
 ///
-/// What controllers acknowledge is promised to be in use at every router within a time that does
-/// not depend on how full the leader is, on the way or on the router. So a router that is in
-/// contact with its controllers decides only with a table that it knows to be young enough. One
-/// that nobody answers is cut off, or its controllers have no leader; nothing new is acknowledged
-/// behind its back where it could be in touch, and its callers are better served by the last table
-/// than not.
+/// Every change that the controllers acknowledge is promised to be in use at all routers within a
+/// fixed time, independent of the load of the leader, the network and the router. A router that is
+/// in contact with its controllers therefore uses its table only up to a maximum age. A router that
+/// gets no answers is partitioned, or its controllers have no leader. No change that it could
+/// receive is acknowledged meanwhile, so it continues with its last table, which serves callers
+/// better than refusing all requests.
 ///
-/// Invariant: whatever was acknowledged to anybody before `as_of()`, a moment of the router's own
-/// clock, is in the router's table.
+/// Invariant: the router's table contains every change that was acknowledged before `as_of()`, a
+/// time of the router's own clock.
 
 #include <optional>
 
@@ -18,54 +18,58 @@
 namespace planktray::routing {
 
 struct FreshnessOptions {
-  /// The oldest table to decide with while in contact; 0: any. Set to what is promised to operators
-  /// less the time that a request takes to its back end.
+  /// Maximum age of the table while in contact; 0: unlimited. Set to the time promised to operators
+  /// minus the time that a request takes to reach its back end.
   common::Duration max_age = std::chrono::milliseconds(2000);
-  /// Contact is lost once nobody has answered for this long since the router asked. Two rounds of
-  /// questions to other controllers (0.5 and 0.75 s) and an election (0.5 s) fit into it.
+  /// Contact is lost when no controller has answered for this long after the first unanswered
+  /// hello. Leaves time for two inquiries to other controllers (at 0.5 and 0.75 s) and an election
+  /// (0.5 s).
   common::Duration contact_timeout = std::chrono::milliseconds(1250);
-  /// A router that does something this much later than it had planned was stopped meanwhile: that
-  /// nobody answered then says nothing. Turns of a full router's loop are some 60 ms.
+  /// A router that wakes up this much later than planned was suspended, and missing answers during
+  /// that time do not mean lost contact. One turn of an overloaded router's event loop takes about
+  /// 60 ms.
   common::Duration stall = std::chrono::milliseconds(500);
-  /// No younger table is asked for, whatever a decision takes to come into effect.
+  /// Lower bound of the maximum age, however long a decision takes to come into effect.
   common::Duration shortest_max_age = std::chrono::milliseconds(500);
 };
 
-/// What a table is good for.
+/// Whether a table may be used for decisions.
 enum class TableStatus {
-  kCurrent,       ///< young enough for every decision
-  kTooOld,        ///< in contact, and older than allowed: nothing may be decided with it
-  kOutOfContact,  ///< the last that was known; it does not show that something is not there
+  kCurrent,       ///< fresh enough for every decision
+  kTooOld,        ///< in contact, but older than allowed; must not be used
+  kOutOfContact,  ///< last known table; an entry that it lacks may exist
 };
 
 class TableFreshness {
  public:
   explicit TableFreshness(FreshnessOptions options) : options_(options) {}
 
-  /// The router has asked a controller.
+  /// The router has sent a hello or inquiry to a controller.
   void on_asked(common::TimePoint now);
-  /// A controller that leads, or follows one that does, has said something.
+  /// A controller that is the leader, or follows one, has answered.
   void on_answered() { asked_since_.reset(); }
-  /// The router acts at `now`, and had planned to at `due`.
+  /// The router's event loop has woken up at `now`, planned for `due`.
   void on_woken(common::TimePoint now, common::TimePoint due);
-  /// The table is as it was at `as_of` or newer. Confirmations may come late and out of order; one
-  /// from the future was made for an earlier life of this router's clock and is passed over.
+  /// The table contains all changes acknowledged before `as_of`. Confirmations may arrive late and
+  /// out of order. A confirmation with a time in the future belongs to the clock of an earlier boot
+  /// of this router and is ignored.
   void on_confirmed(common::TimePoint now, common::TimePoint as_of);
 
-  /// @param extra what the decision takes to come into effect beyond what `max_age` allows for.
+  /// @param extra time that the decision takes to come into effect, beyond what `max_age` allows
+  /// for.
   TableStatus status(common::TimePoint now, common::Duration extra = {}) const;
-  /// @return nothing before the first confirmation.
+  /// @return std::nullopt before the first confirmation.
   std::optional<common::TimePoint> as_of() const { return as_of_; }
-  /// Time since as_of(); nothing before the first confirmation.
+  /// Time since as_of(); std::nullopt before the first confirmation.
   std::optional<common::Duration> age(common::TimePoint now) const;
-  /// True where the table is so old that other controllers should be asked for a newer one.
+  /// True if other controllers should be asked for a newer table.
   bool is_aging(common::TimePoint now) const;
   const FreshnessOptions& options() const { return options_; }
 
  private:
   FreshnessOptions options_;
   std::optional<common::TimePoint> as_of_;
-  std::optional<common::TimePoint> asked_since_;  ///< the first question without any answer since
+  std::optional<common::TimePoint> asked_since_;  ///< first hello since the last answer
 };
 
 }  // namespace planktray::routing
--- a/test/routing/table_freshness_test.cpp
+++ b/test/routing/table_freshness_test.cpp
@@ -16,26 +16,25 @@
   return freshness;
 }
 
-TEST_CASE(
-    "a table is good for the time that was set, counted from its moment and not its arrival") {
+TEST_CASE("the age of a table counts from the time it is current for, not from its arrival") {
   TableFreshness freshness = fresh_at(1000);
   CHECK(freshness.status(at(3000)) == TableStatus::kCurrent);
   CHECK(freshness.status(at(3001)) == TableStatus::kTooOld);
-  freshness.on_confirmed(at(9000), at(1500));  // late
+  freshness.on_confirmed(at(9000), at(1500));  // arrives late
   CHECK(freshness.status(at(9000)) == TableStatus::kTooOld);
-  freshness.on_confirmed(at(9100), at(1200));  // late, and out of order
+  freshness.on_confirmed(at(9100), at(1200));  // arrives late and out of order
   CHECK(freshness.as_of() == at(1500));
 }
 
-TEST_CASE("a confirmation from the future is one for another life of the clock") {
+TEST_CASE("a confirmation with a time in the future is ignored") {
   TableFreshness freshness = fresh_at(1000);
   freshness.on_confirmed(at(1100), at(50'000));
   CHECK(freshness.as_of() == at(1000));
 }
 
-TEST_CASE("contact is lost only where nobody has answered for long enough since the router asked") {
+TEST_CASE("contact is lost only after the timeout since the first unanswered hello") {
   TableFreshness freshness = fresh_at(1000);
-  CHECK(freshness.status(at(60'000)) == TableStatus::kTooOld);  // it has not asked
+  CHECK(freshness.status(at(60'000)) == TableStatus::kTooOld);  // no hello was sent
   freshness.on_asked(at(60'000));
   freshness.on_asked(at(61'000));
   CHECK(freshness.status(at(61'249)) == TableStatus::kTooOld);
@@ -44,17 +43,17 @@
   CHECK(freshness.status(at(61'251)) == TableStatus::kTooOld);
 }
 
-TEST_CASE("a router that was stopped does not take the silence meanwhile for lost contact") {
+TEST_CASE("missing answers during a suspension of the router do not mean lost contact") {
   TableFreshness freshness = fresh_at(1000);
   freshness.on_asked(at(1100));
   freshness.on_woken(at(9000), at(1350));
   CHECK(freshness.status(at(9000)) == TableStatus::kTooOld);
   freshness.on_asked(at(9000));
-  freshness.on_woken(at(9700), at(9300));  // a full loop, no stop
+  freshness.on_woken(at(9700), at(9300));  // an overloaded event loop, no suspension
   CHECK(freshness.status(at(10'250)) == TableStatus::kOutOfContact);
 }
 
-TEST_CASE("without a promise every table is young enough") {
+TEST_CASE("with a maximum age of 0, a table of any age is fresh") {
   TableFreshness freshness({milliseconds(0), milliseconds(1250), milliseconds(500)});
   CHECK(freshness.status(at(60'000)) == TableStatus::kCurrent);
 }
