--- a/src/routing/requested_backoffs.cpp
+++ b/src/routing/requested_backoffs.cpp
@@ -7,15 +7,16 @@
   if (time.count() <= 0) {
     return false;
   }
-  const bool is_news = !ends_at(now, id).has_value();
-  const Duration believed = std::min(time, options_.longest);
-  const Duration widest = std::min(std::chrono::duration_cast<Duration>(believed * options_.spread),
-                                   options_.longest_spread);
-  const auto spread = std::chrono::duration_cast<Duration>(widest * common::uniform_real(random));
+  const bool is_new = !ends_at(now, id).has_value();
+  const Duration accepted = std::min(time, options_.longest);
+  const Duration max_spread = std::min(
+      std::chrono::duration_cast<Duration>(accepted * options_.spread), options_.longest_spread);
+  const auto spread =
+      std::chrono::duration_cast<Duration>(max_spread * common::uniform_real(random));
   Backoff& backoff = backoffs_[id];
-  backoff.end = std::max(backoff.end, now + believed + spread);
+  backoff.end = std::max(backoff.end, now + accepted + spread);
   backoff.trial_sent.reset();
-  return is_news;
+  return is_new;
 }
 
 void RequestedBackoffs::on_sent(TimePoint now, BackendId id) {
@@ -41,8 +42,8 @@
 
 std::optional<TimePoint> RequestedBackoffs::ends_at(TimePoint now, BackendId id) const {
   const auto found = backoffs_.find(id);
-  const bool holds = found != backoffs_.end() && now < found->second.end;
-  return holds ? std::optional(found->second.end) : std::nullopt;
+  const bool is_active = found != backoffs_.end() && now < found->second.end;
+  return is_active ? std::optional(found->second.end) : std::nullopt;
 }
 
 bool RequestedBackoffs::is_on_trial(BackendId id) const {
--- a/src/routing/requested_backoffs.hpp
+++ b/src/routing/requested_backoffs.hpp
@@ -1,12 +1,14 @@
 #pragma once
-/// Back ends that have turned this router away and named a time for which it should stay away.
+/// Backoffs that back ends have requested from this router when they refused a request.
 ///
-/// A plain state machine: answers and the time in. A time holds for one incarnation, since back
-/// ends are named by incarnations here; answers of others are not handed in.
+/// A pure state machine whose inputs are answers and times. A backoff applies to one incarnation of
+/// a back end, since a back end ID identifies an incarnation. Answers of other incarnations must
+/// not be passed in.
 ///
 /// Invariants:
-///  - Of several times the latest end holds; no answer to a request that was sent before ends it.
-///  - After the end one request at a time goes there until one of these is answered.
+///  - The latest end of several requested backoffs applies. Answers to requests that were sent
+///    before the end do not end the backoff.
+///  - After the end, one trial request at a time is sent until one of these is answered.
 
 #include <algorithm>
 #include <optional>
@@ -23,10 +25,10 @@
 using common::TimePoint;
 
 struct RequestedBackoffOptions {
-  /// No longer time is believed.
+  /// Upper limit for a requested time.
   Duration longest = std::chrono::hours(24);
-  /// Routers that were turned away together come back apart: each adds a time of its own, up to
-  /// this part of what was asked for and not more than `longest_spread`.
+  /// Jitter: each router adds a random time, up to this fraction of the requested time and at most
+  /// `longest_spread`, so that routers that were refused together do not return at once.
   double spread = 0.2;
   Duration longest_spread = std::chrono::milliseconds(500);
 };
@@ -35,28 +37,27 @@
  public:
   explicit RequestedBackoffs(RequestedBackoffOptions options) : options_(options) {}
 
-  /// The back end has turned a request away and wants nothing for this time.
-  /// @return true where that is news: it has not asked before, or its time was up.
+  /// The back end has refused a request and requests a backoff for `time`.
+  /// @return true if a backoff begins, false if one was in effect already.
   bool on_requested(TimePoint now, BackendId id, Duration time, common::RandomEngine& random);
-  /// A request goes to the back end.
+  /// A request is sent to the back end.
   void on_sent(TimePoint now, BackendId id);
   /// The request that was sent at `sent` was answered.
   void on_answered(BackendId id, TimePoint sent);
-  /// It has ended otherwise.
+  /// The request that was sent at `sent` has ended without an answer.
   void on_ended(BackendId id, TimePoint sent);
-  /// Forgets back ends that `keep(id)` is false for.
+  /// Drops back ends for which `keep(id)` is false.
   template <typename Keep>
   void keep_only(const Keep& keep) {
     std::erase_if(backoffs_, [&](const auto& item) { return !keep(item.first); });
   }
 
-  /// When the back end may be asked again; nothing where it may be now.
+  /// End of the backoff; std::nullopt if none is in effect.
   std::optional<TimePoint> ends_at(TimePoint now, BackendId id) const;
-  /// True where the back end has had its one request since the end of its time, and not answered it
-  /// yet.
+  /// True while the trial request after the end of the backoff is in flight.
   bool is_on_trial(BackendId id) const;
   bool empty() const { return backoffs_.empty(); }
-  /// Calls `visit(id, end)` for each back end that wants nothing now.
+  /// Calls `visit(id, end)` for each backoff in effect.
   template <typename Visit>
   void for_each(TimePoint now, const Visit& visit) const {
     for (const auto& [id, backoff] : backoffs_) {
@@ -65,16 +66,16 @@
       }
     }
   }
-  /// Back ends that want nothing now.
+  /// Number of backoffs in effect.
   std::size_t count(TimePoint now) const;
 
  private:
   RequestedBackoffOptions options_;
   struct Backoff {
     TimePoint end;
-    std::optional<TimePoint> trial_sent;  ///< the one request since the end, while it is under way
+    std::optional<TimePoint> trial_sent;  ///< set while the trial request is in flight
   };
-  /// Kept beyond their end, until a request that was sent after it is answered.
+  /// Kept after their end until a request that was sent after the end is answered.
   std::unordered_map<BackendId, Backoff> backoffs_;
 };
 
--- a/test/routing/requested_backoffs_test.cpp
+++ b/test/routing/requested_backoffs_test.cpp
@@ -20,19 +20,19 @@
   return RequestedBackoffs(options);
 }
 
-TEST_CASE("a back end is left alone for as long as it asks, by boot time") {
+TEST_CASE("a requested backoff lasts for the requested time, measured in boot time") {
   RequestedBackoffs backoffs = exact();
   common::RandomEngine random(1);
   CHECK(backoffs.on_requested(kStart, kBackend, seconds(3), random));
   CHECK(backoffs.ends_at(kStart, kBackend) == kStart + seconds(3));
   CHECK(backoffs.ends_at(kStart + milliseconds(2999), kBackend).has_value());
   CHECK(backoffs.count(kStart) == 1);
-  // After a suspension of an hour the time is long over.
+  // Boot time includes suspensions, so the backoff has ended after a suspension of an hour.
   CHECK_FALSE(backoffs.ends_at(kStart + std::chrono::hours(1), kBackend).has_value());
   CHECK(backoffs.count(kStart + seconds(3)) == 0);
 }
 
-TEST_CASE("of several times the latest end holds") {
+TEST_CASE("of several requested backoffs the latest end applies") {
   RequestedBackoffs backoffs = exact();
   common::RandomEngine random(1);
   CHECK(backoffs.on_requested(kStart, kBackend, seconds(3), random));
@@ -42,8 +42,8 @@
   CHECK(backoffs.ends_at(kStart + seconds(1), kBackend) == kStart + seconds(6));
 }
 
-// Guards against a time that ends with any answer, though it was to a request of before.
-TEST_CASE("only an answer to a request that came after the time shows that it is over") {
+// Guards against a backoff that is ended by the answer to a request sent before its end.
+TEST_CASE("only the answer to a request sent after the end clears a backoff") {
   RequestedBackoffs backoffs = exact();
   common::RandomEngine random(1);
   backoffs.on_requested(kStart, kBackend, seconds(3), random);
@@ -53,12 +53,12 @@
   CHECK(backoffs.empty());
 }
 
-TEST_CASE("after the time one request is on trial, and the next one when it has ended") {
+TEST_CASE("after a backoff one trial request is sent at a time") {
   RequestedBackoffs backoffs = exact();
   common::RandomEngine random(1);
   const TimePoint end = kStart + seconds(3);
   backoffs.on_requested(kStart, kBackend, seconds(3), random);
-  // What was sent before and is still under way is no trial.
+  // A request in flight from before the backoff is no trial.
   CHECK_FALSE(backoffs.is_on_trial(kBackend));
   backoffs.on_sent(end, kBackend);
   CHECK(backoffs.is_on_trial(kBackend));
@@ -72,7 +72,7 @@
   CHECK(backoffs.empty());
 }
 
-TEST_CASE("a time of zero asks for nothing, and none is believed beyond a day") {
+TEST_CASE("a requested time of zero is ignored, and times are limited to a day") {
   RequestedBackoffs backoffs = exact();
   common::RandomEngine random(1);
   CHECK_FALSE(backoffs.on_requested(kStart, kBackend, Duration(0), random));
@@ -81,7 +81,7 @@
   CHECK(backoffs.ends_at(kStart, kBackend) == kStart + std::chrono::hours(24));
 }
 
-TEST_CASE("routers that were turned away together come back apart, and none too soon") {
+TEST_CASE("jitter spreads the ends of routers that were refused together, and none ends early") {
   std::set<TimePoint> ends;
   for (std::uint64_t router = 1; router <= 11; ++router) {
     RequestedBackoffs backoffs{RequestedBackoffOptions{}};
@@ -95,7 +95,7 @@
   CHECK(*ends.rbegin() - *ends.begin() > milliseconds(200));
 }
 
-TEST_CASE("a back end that the table drops is forgotten") {
+TEST_CASE("a back end that is removed from the table is dropped") {
   RequestedBackoffs backoffs = exact();
   common::RandomEngine random(1);
   backoffs.on_requested(kStart, kBackend, seconds(3), random);
