--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -7,18 +7,18 @@
 namespace planktray::routing {
 namespace {
 
-/// Host names are compared without case and without a port.
-std::string plain_host(std::string_view host) {
+/// The host in lower case and without a port, for comparison.
+std::string normalized_host(std::string_view host) {
   const auto colon = host.rfind(':');
-  std::string plain(host.substr(0, colon));
-  std::transform(plain.begin(), plain.end(), plain.begin(),
+  std::string normalized(host.substr(0, colon));
+  std::transform(normalized.begin(), normalized.end(), normalized.begin(),
                  [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
-  return plain;
+  return normalized;
 }
 
 }  // namespace
 
-void KeyOwners::cut_at(std::uint32_t first) {
+void KeyOwners::split_at(std::uint32_t first) {
   auto found = ranges_.upper_bound(first);
   if (found == ranges_.begin()) {
     return;
@@ -31,9 +31,9 @@
 }
 
 void KeyOwners::put(std::uint32_t first, std::uint32_t last, BackendId owner) {
-  cut_at(first);
+  split_at(first);
   if (last + 1 < config::kKeyCount) {
-    cut_at(last + 1);
+    split_at(last + 1);
   }
   ranges_.erase(ranges_.lower_bound(first), ranges_.upper_bound(last));
   ranges_[first] = {last, owner};
@@ -44,8 +44,8 @@
   if (found == ranges_.begin()) {
     return BackendId();
   }
-  const auto& [first, owned] = *std::prev(found);
-  return key <= owned.last ? owned.owner : BackendId();
+  const auto& [first, range] = *std::prev(found);
+  return key <= range.last ? range.owner : BackendId();
 }
 
 void RouteTable::install(const TableDelta& delta,
@@ -84,30 +84,31 @@
   const bool targets_changed = delta.is_snapshot || !delta.backends.empty() ||
                                !delta.removed_backends.empty() || !delta.routed_services.empty();
   if (targets_changed) {
-    list_targets(backends);
+    update_targets(backends);
   }
   const bool routes_changed = delta.is_snapshot || !delta.routes.empty() ||
                               !delta.removed_routes.empty() || !delta.routed_services.empty();
   if (routes_changed) {
-    find_shortest_objectives();
+    update_shortest_objectives();
   }
 }
 
-void RouteTable::find_shortest_objectives() {
+void RouteTable::update_shortest_objectives() {
   for (auto& [id, service] : services_) {
     service.shortest_objective.reset();
   }
   for (const auto& [name, route] : routes_) {
-    const std::uint32_t stated_ms = route.objective_ms > 0 ? route.objective_ms : route.timeout_ms;
-    if (stated_ms == 0) {
+    const std::uint32_t deadline_ms =
+        route.objective_ms > 0 ? route.objective_ms : route.timeout_ms;
+    if (deadline_ms == 0) {
       continue;
     }
-    const common::Duration stated = std::chrono::milliseconds(stated_ms);
+    const common::Duration deadline = std::chrono::milliseconds(deadline_ms);
     for (const config::RoutePart& part : route.parts) {
       const auto service = service_ids_.find(part.service.value);
       if (service != service_ids_.end()) {
         auto& shortest = services_.at(service->second).shortest_objective;
-        shortest = std::min(shortest.value_or(stated), stated);
+        shortest = std::min(shortest.value_or(deadline), deadline);
       }
     }
   }
@@ -118,7 +119,7 @@
   if (found == routes_.end()) {
     return;
   }
-  const auto host = by_host_.find(plain_host(found->second.host));
+  const auto host = by_host_.find(normalized_host(found->second.host));
   const auto prefix = host->second.find(found->second.path_prefix);
   prefix->second.erase(name);
   if (prefix->second.empty()) {
@@ -132,10 +133,10 @@
 
 void RouteTable::put_route(const config::Route& route) {
   routes_[route.name] = route;
-  by_host_[plain_host(route.host)][route.path_prefix].insert(route.name);
+  by_host_[normalized_host(route.host)][route.path_prefix].insert(route.name);
 }
 
-void RouteTable::list_targets(const std::unordered_map<BackendId, BackendRoute>& backends) {
+void RouteTable::update_targets(const std::unordered_map<BackendId, BackendRoute>& backends) {
   for (auto& [id, service] : services_) {
     service.targets.clear();
   }
@@ -151,11 +152,12 @@
 }
 
 const config::Route* RouteTable::find(std::string_view host, std::string_view path) const {
-  const auto prefixes = by_host_.find(plain_host(host));
+  const auto prefixes = by_host_.find(normalized_host(host));
   if (prefixes == by_host_.end()) {
     return nullptr;
   }
-  // Prefixes end with a slash: those of the path are its parts up to each slash, the longest first.
+  // Prefixes end with a slash, so the candidates are the substrings of the path up to each slash,
+  // longest first.
   for (auto slash = path.rfind('/'); slash != std::string_view::npos;
        slash = slash == 0 ? std::string_view::npos : path.rfind('/', slash - 1)) {
     const auto found = prefixes->second.find(path.substr(0, slash + 1));
--- a/src/routing/table.hpp
+++ b/src/routing/table.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// The routing table of one router, built from snapshots and deltas.
 ///
-/// Invariant: the index of the table only grows, so what is in force here never reverts.
+/// Invariant: the index of the table only increases, so an applied change is never reverted.
 
 #include <cstdint>
 #include <map>
@@ -26,13 +26,13 @@
   std::vector<ShardSlot> shards;
 };
 
-/// The shard a key belongs to: xxHash of the key under the template's seed, modulo the count.
+/// The shard of a key: xxHash of the key with the template's seed, modulo the number of shards.
 ShardNumber shard_of_key(std::string_view key, const config::ServiceTemplate& parameters);
 
 class RoutingTable {
  public:
-  /// Installs an update that leads on from what is held.
-  /// @return true where something was installed; false for late, repeated or gapped updates.
+  /// Applies an update that starts at or before the current index and ends after it.
+  /// @return true if the update was applied, false if it is late, repeated or leaves a gap.
   bool apply(const TableUpdate& update);
 
   LogIndex index() const { return index_; }
@@ -41,10 +41,10 @@
   const TableService* find_service(ServiceId id) const;
   const BackendRoute* find_backend(BackendId id) const;
   const std::unordered_map<BackendId, BackendRoute>& backends() const { return backends_; }
-  /// True where the tenant is or was declared.
+  /// Revision of each tenant that is or was declared.
   const std::map<common::TenantName, common::Revision>& tenants() const { return tenants_; }
   const RouteTable& routes() const { return routes_; }
-  /// Zones whose back ends are to get nothing.
+  /// Zones whose back ends get no requests.
   const std::set<common::ZoneName>& evacuated_zones() const { return evacuated_zones_; }
   bool is_evacuated(const BackendRoute& backend) const {
     return evacuated_zones_.contains(backend.zone);
--- a/test/routing/route_table_test.cpp
+++ b/test/routing/route_table_test.cpp
@@ -1,4 +1,4 @@
-/// Routes by host and path prefix, also where there are many.
+/// Lookup of routes by host and path prefix.
 
 #include "routing/route_table.hpp"
 
@@ -15,7 +15,7 @@
   return route;
 }
 
-/// A table with these routes, added one change after the other.
+/// A table with these routes, each added by its own delta.
 RouteTable table_of(const std::vector<config::Route>& routes) {
   RouteTable table;
   for (const config::Route& route : routes) {
@@ -31,7 +31,7 @@
   return route == nullptr ? "" : route->name;
 }
 
-TEST_CASE("the longest prefix that begins the path counts, on its host alone") {
+TEST_CASE("the longest matching path prefix of the host applies") {
   const RouteTable table = table_of({route("root", "a", "/"), route("long", "a", "/x/y/"),
                                      route("short", "a", "/x/"), route("other", "b", "/x/y/z/")});
   CHECK(found(table, "a", "/x/y/z/1") == "long");
@@ -44,7 +44,7 @@
   CHECK(found(table, "a", "").empty());
 }
 
-TEST_CASE("a route that moves or goes leaves no trace of its old place") {
+TEST_CASE("a moved or removed route no longer matches at its old host and prefix") {
   RouteTable table = table_of({route("one", "a", "/x/"), route("two", "a", "/y/")});
   TableDelta delta;
   delta.routes = {route("one", "b", "/x/")};
@@ -55,7 +55,7 @@
   CHECK(found(table, "b", "/x/") == "one");
 }
 
-TEST_CASE("the same place twice, in hosts that differ in case only") {
+TEST_CASE("two routes with the same prefix, on hosts that differ only in case") {
   RouteTable table = table_of({route("one", "a", "/x/"), route("two", "A", "/x/")});
   CHECK(found(table, "a", "/x/") == "one");
   TableDelta delta;
@@ -64,7 +64,7 @@
   CHECK(found(table, "a", "/x/") == "two");
 }
 
-TEST_CASE("thousands of routes on one host are found each by its own prefix") {
+TEST_CASE("each of thousands of routes on one host is found by its prefix") {
   constexpr int kRoutes = 5000;
   std::vector<config::Route> routes;
   routes.reserve(kRoutes);
