--- a/src/routing/crowded_owners.cpp
+++ b/src/routing/crowded_owners.cpp
@@ -5,14 +5,15 @@
 
 namespace planktray::routing {
 
-void CrowdedOwners::on_leader_list(common::TimePoint now, const std::vector<AdmittedShare>& parts) {
+void CrowdedOwners::on_leader_list(common::TimePoint now,
+                                   const std::vector<AdmittedShare>& shares) {
   constexpr double kPermille = 1000.0;
-  told_until_ = now + options_.lease;
-  std::unordered_map<BackendId, Owner> before = std::exchange(owners_, {});
-  for (const AdmittedShare& told : parts) {
-    Owner& owner = owners_[told.backend];
-    owner = before[told.backend];
-    owner.part = std::min(1.0, told.permille / kPermille);
+  valid_until_ = now + options_.lease;
+  std::unordered_map<BackendId, Owner> previous = std::exchange(owners_, {});
+  for (const AdmittedShare& listed : shares) {
+    Owner& owner = owners_[listed.backend];
+    owner = previous[listed.backend];
+    owner.share = std::min(1.0, listed.permille / kPermille);
   }
 }
 
@@ -21,7 +22,7 @@
   if (!has_current_list(now) || found == owners_.end()) {
     return true;
   }
-  return found->second.admitted.admits(found->second.part, random);
+  return found->second.admitted.admits(found->second.share, random);
 }
 
 }  // namespace planktray::routing
--- a/src/routing/crowded_owners.hpp
+++ b/src/routing/crowded_owners.hpp
@@ -1,6 +1,7 @@
 #pragma once
-/// Owners of keys whose queues are too long, as the leader tells it to all routers: each sends the
-/// same part of the requests for their keys, whatever time these bring.
+/// Owners of keys whose queues are too long ("crowded"), as published by the leader. Every router
+/// sends the same share of the requests for their keys, regardless of the deadlines of the
+/// requests.
 
 #include <unordered_map>
 #include <vector>
@@ -14,10 +15,10 @@
 namespace planktray::routing {
 
 struct CrowdedOwnersOptions {
-  /// The leader's word is used for this long. Longer than two hellos of the largest fleet (1.25 s
-  /// apart), so that one late answer does not end it.
+  /// How long a list from the leader is valid. Longer than two hello intervals of the largest fleet
+  /// (1.25 s each), so that one late answer does not invalidate the list.
   common::Duration lease = std::chrono::milliseconds(2500);
-  /// Safeguard; off only in mutants.
+  /// Safeguard; disabled only in mutants.
   bool is_enabled = true;
 };
 
@@ -25,13 +26,14 @@
  public:
   explicit CrowdedOwners(CrowdedOwnersOptions options) : options_(options) {}
 
-  /// The leader's list; owners that it lacks are not crowded.
-  void on_leader_list(common::TimePoint now, const std::vector<AdmittedShare>& parts);
-  /// Whether one more request for keys of this owner may be sent; to be asked once a request.
+  /// Replaces the list by the leader's; owners that are not in `shares` are not crowded.
+  void on_leader_list(common::TimePoint now, const std::vector<AdmittedShare>& shares);
+  /// Whether one more request for keys of this owner may be sent. To be called once per request,
+  /// since each call counts as one.
   bool admits(common::TimePoint now, BackendId owner, common::RandomEngine& random);
-  /// True while the leader's word holds.
+  /// True while the last list from the leader is valid.
   bool has_current_list(common::TimePoint now) const {
-    return options_.is_enabled && now < told_until_;
+    return options_.is_enabled && now < valid_until_;
   }
   std::size_t count(common::TimePoint now) const {
     return has_current_list(now) ? owners_.size() : 0;
@@ -39,12 +41,12 @@
 
  private:
   struct Owner {
-    double part = 1;
+    double share = 1;
     EvenShare admitted;
   };
 
   CrowdedOwnersOptions options_;
-  common::TimePoint told_until_;
+  common::TimePoint valid_until_;
   std::unordered_map<BackendId, Owner> owners_;
 };
 
--- a/src/routing/fleet_size.hpp
+++ b/src/routing/fleet_size.hpp
@@ -1,11 +1,11 @@
 #pragma once
-/// How many routers share what is promised for all of them together: retry budgets, rates of
+/// Number of routers among which fleet-wide limits are divided: retry budgets, request rates of
 /// targets, connections.
 ///
-/// Invariant: the figure is never below the largest that was heard within `memory`. A leader that
-/// has just been elected knows only the routers that have said hello to it so far, and a router
-/// that restarts is not counted for a while: parts worked out from such a count would add up to
-/// more than the whole.
+/// Invariant: the count is never below the largest count that was received within `memory`. A newly
+/// elected leader counts only the routers that have sent it a hello so far, and a restarting router
+/// is temporarily not counted. Shares computed from such a count would add up to more than the
+/// limit.
 
 #include <algorithm>
 #include <cstdint>
@@ -17,30 +17,30 @@
 
 class FleetSize {
  public:
-  /// @param memory longer than it takes all routers to say hello to a new leader.
+  /// @param memory longer than all routers together need to send a hello to a new leader.
   explicit FleetSize(common::Duration memory) : memory_(memory) {}
 
-  /// A leader counts so many routers.
+  /// Records the number of routers that a leader counts.
   void on_count(common::TimePoint now, std::uint32_t routers) {
-    while (!heard_.empty() && heard_.back().routers <= routers) {
-      heard_.pop_back();
+    while (!counts_.empty() && counts_.back().routers <= routers) {
+      counts_.pop_back();
     }
-    heard_.push_back({now, routers});
-    while (heard_.size() > 1 && now - heard_.front().at > memory_) {
-      heard_.pop_front();
+    counts_.push_back({now, routers});
+    while (counts_.size() > 1 && now - counts_.front().at > memory_) {
+      counts_.pop_front();
     }
   }
-  /// 1 where nothing was heard.
-  std::uint32_t largest() const { return heard_.empty() ? 1 : heard_.front().routers; }
+  /// Largest count within the memory; 1 before the first count.
+  std::uint32_t largest() const { return counts_.empty() ? 1 : counts_.front().routers; }
 
  private:
-  struct Heard {
+  struct Count {
     common::TimePoint at;
     std::uint32_t routers = 1;
   };
 
   common::Duration memory_;
-  std::deque<Heard> heard_;  ///< figures fall from the front to the back
+  std::deque<Count> counts_;  ///< in decreasing order of `routers`
 };
 
 }  // namespace planktray::routing
--- a/src/routing/outcome.hpp
+++ b/src/routing/outcome.hpp
@@ -1,15 +1,15 @@
 #pragma once
-/// What can come of a request, and of one attempt to send it to a back end.
+/// Outcomes of a request, and of one attempt to send it to a back end.
 
 #include <cstdint>
 #include <string_view>
 
 namespace planktray::routing {
 
-/// What a caller is told.
+/// Outcome that is reported to the caller.
 enum class Outcome : std::uint8_t {
-  kAnswered,  ///< the back end's whole answer to this very request
-  kNotRun,    ///< proof exists that it did not run
+  kAnswered,  ///< complete answer of the back end to this request
+  kNotRun,    ///< proven not to have run
   kUnknown,   ///< it may have run
 };
 
@@ -17,23 +17,23 @@
 enum class NotRunReason : std::uint8_t {
   kNone,
   kUnknownService,  ///< no such tenant or service
-  kKeyMissing,      ///< the service is divided by key and none was given
-  kNotServing,      ///< this router has no confirmed table
-  kNoTarget,        ///< nobody can take it now
+  kKeyMissing,      ///< the service is sharded by key and the request has none
+  kNotServing,      ///< the router has no confirmed table
+  kNoTarget,        ///< no target can accept it now
   kQueueFull,
-  kDeadline,     ///< it could not be sent in time
-  kBudgetSpent,  ///< a retry was possible, but retries are limited
+  kDeadline,     ///< could not be sent before its deadline
+  kBudgetSpent,  ///< a retry was possible, but the retry budget is exhausted
   kDrainingRouter,
   kUnknownRoute,    ///< no route for this host and path
-  kNoOwner,         ///< the key has no owner at present
-  kOverload,        ///< it could not be answered in time
-  kTableTooOld,     ///< the table may not show what was acknowledged since
-  kCrashesTargets,  ///< targets that began to run it have ended, one after the other
-  kTargetLimit,     ///< the targets that could run it name limits, which leave no room now
-  kTargetBackoff,   ///< the targets that could run it have asked to be left alone for a while
+  kNoOwner,         ///< the key currently has no owner
+  kOverload,        ///< could not have been answered in time
+  kTableTooOld,     ///< the table may lack acknowledged changes
+  kCrashesTargets,  ///< consecutive targets have crashed while running it
+  kTargetLimit,     ///< the rate limits of all possible targets are exhausted
+  kTargetBackoff,   ///< all possible targets have requested a backoff
 };
 
-/// A back end's refusal with proof that nothing ran (`Planktray-Not-Run`).
+/// Reason of a back end's refusal, which proves that the request did not run (`Planktray-Not-Run`).
 enum class Refusal : std::uint8_t {
   kShed,
   kDraining,
@@ -46,18 +46,18 @@
 
 /// How an attempt ended.
 enum class AttemptEnd : std::uint8_t {
-  kAnswered,  ///< whole answer with the right request id
+  kAnswered,  ///< complete answer with the matching request ID
   kRefused,   ///< see Refusal
-  kNotSent,   ///< never connected, nothing written
-  kBroken,    ///< written, at least in part, and no whole answer came back
-  kForeign,   ///< an answer that is not to this request
+  kNotSent,   ///< not connected, nothing was written
+  kBroken,    ///< at least partly written, no complete answer received
+  kForeign,   ///< answer to a different request
 };
 
 std::string_view to_string(Outcome outcome);
 std::string_view to_string(NotRunReason reason);
 std::string_view to_string(Refusal refusal);
 std::string_view to_string(AttemptEnd end);
-/// @return false where the text names no refusal.
+/// @return false if the text names no refusal.
 bool parse_refusal(std::string_view text, Refusal& refusal);
 
 }  // namespace planktray::routing
--- a/src/routing/retry_budget.hpp
+++ b/src/routing/retry_budget.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// Token bucket that bounds retries to a share of first attempts, so that retries cannot multiply
-/// an overload.
+/// Token bucket that limits retries to a fraction of the first attempts, so that retries cannot
+/// amplify an overload.
 
 #include <algorithm>
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 struct RetryBudgetOptions {
   double tokens_per_request = 0.2;  ///< retries allowed for each first attempt
-  double tokens_per_second = 10.0;  ///< retries allowed without any traffic
+  double tokens_per_second = 10.0;  ///< retries allowed regardless of traffic
   double capacity = 100.0;
 };
 
@@ -22,7 +22,7 @@
   void on_first_attempt() {
     tokens_ = std::min(options_.capacity, tokens_ + options_.tokens_per_request);
   }
-  /// Takes a token. @return false where the budget is spent.
+  /// Takes a token. @return false if the budget is exhausted.
   bool take(common::TimePoint now) {
     const double seconds = std::chrono::duration<double>(now - filled_at_).count();
     filled_at_ = now;
--- a/src/routing/retry_window.hpp
+++ b/src/routing/retry_window.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// A budget of repeated sends that holds in every sliding window, shared by routers without talk:
-/// each may repeat a share of its own first sends and its part of a fixed extra.
+/// Retry budget over a sliding window. The routers share it without communication: each may retry a
+/// fraction of its own first attempts, plus its share of a fixed allowance.
 
 #include <array>
 #include <cstdint>
@@ -10,28 +10,29 @@
 namespace planktray::routing {
 
 struct RetryWindowOptions {
-  double ratio = 0.2;  ///< repeats allowed for each request of the window
-  double extra = 60;   ///< repeats allowed beside them, over all routers
+  double ratio = 0.2;  ///< retries allowed per request in the window
+  double extra = 60;   ///< additional retries allowed, over all routers
   common::Duration window = std::chrono::seconds(10);
-  /// Only this part is spent: what a router has not seen yet may count elsewhere.
+  /// Fraction of the budget that is used. The rest is a margin for retries that count
+  /// elsewhere before this router has counted them.
   double spent_share = 0.8;
 };
 
-/// What a router has spent of its part of a service's budget in the present window.
+/// Use of one router's share of a service's retry budget in the current window.
 struct RetryUsage {
   std::uint32_t requests = 0;
   std::uint32_t repeats = 0;
-  double allowed = 0;  ///< repeats
+  double allowed = 0;  ///< limit for `repeats`
 };
 
-/// Counts requests and repeats of one service at one router.
+/// Counts the requests and retries of one service at one router.
 class RetryWindow {
  public:
   explicit RetryWindow(RetryWindowOptions options) : options_(options) {}
 
   void on_request(common::TimePoint now) { ++slot_at(now).requests; }
-  /// Takes one repeat. @param routers among which the extra is divided.
-  /// @return false where the budget is spent.
+  /// Takes one retry. @param routers number of routers that share `extra`.
+  /// @return false if the budget is exhausted.
   bool take(common::TimePoint now, std::uint32_t routers) {
     const RetryUsage present = usage(now, routers);
     if (present.repeats + 1 > present.allowed) {
@@ -49,8 +50,8 @@
       usage.requests += counts ? slot.requests : 0;
       usage.repeats += counts ? slot.repeats : 0;
     }
-    const double part = options_.extra / (routers == 0 ? 1 : routers);
-    usage.allowed = options_.spent_share * (options_.ratio * usage.requests + part);
+    const double extra_share = options_.extra / (routers == 0 ? 1 : routers);
+    usage.allowed = options_.spent_share * (options_.ratio * usage.requests + extra_share);
     return usage;
   }
 
--- a/src/routing/shared_list.hpp
+++ b/src/routing/shared_list.hpp
@@ -1,8 +1,8 @@
 #pragma once
-/// A list that many messages carry, such as the changes of a table. One leader sends the same
-/// changes to hundreds of routers: copies share them, and their encoding, which is made once. With
-/// 281 routers, making updates and encoding each was 37% of a leader's decisions (11% and 26% of
-/// counted instructions, the start included, 20 back ends replaced a second).
+/// A list that is sent in many messages, such as the changes of a table. A leader sends the same
+/// changes to hundreds of routers. Copies share the elements and their encoding, which is made
+/// once: with 281 routers and 20 back ends replaced per second, building and encoding each update
+/// on its own took 37% of the leader's instructions (11% for building, 26% for encoding).
 
 #include <cstddef>
 #include <initializer_list>
@@ -15,8 +15,8 @@
 
 namespace planktray::routing {
 
-/// A list of T with value semantics: what is changed is copied before, if it is shared.
-/// Invariant: the encoding, where there is one, is that of the elements.
+/// A list of T with value semantics (copy-on-write).
+/// Invariant: a cached encoding always matches the elements.
 template <typename T>
 class SharedList {
  public:
@@ -34,8 +34,8 @@
   const_iterator end() const { return elements().end(); }
   const T& front() const { return elements().front(); }
   const T& operator[](std::size_t position) const { return elements()[position]; }
-  T& operator[](std::size_t position) { return own()[position]; }
-  void push_back(T element) { own().push_back(std::move(element)); }
+  T& operator[](std::size_t position) { return detach()[position]; }
+  void push_back(T element) { detach().push_back(std::move(element)); }
 
   template <typename Packer>
   void msgpack_pack(Packer& packer) const {
@@ -46,7 +46,8 @@
     if (shared_->encoded.empty()) {
       shared_->encoded = common::encode(shared_->elements);
     }
-    // The body of a text of bytes is written as it is: it is a whole MessagePack value.
+    // pack_bin_body() copies the bytes verbatim; the cached encoding is a complete MessagePack
+    // value.
     packer.pack_bin_body(shared_->encoded.data(),
                          static_cast<std::uint32_t>(shared_->encoded.size()));
   }
@@ -57,15 +58,15 @@
  private:
   struct Shared {
     std::vector<T> elements;
-    std::string encoded;  ///< empty: not made yet
+    std::string encoded;  ///< empty until first needed
   };
 
   const std::vector<T>& elements() const {
     static const std::vector<T> kNone;
     return shared_ == nullptr ? kNone : shared_->elements;
   }
-  /// The elements for a change: nobody else's, and without an encoding.
-  std::vector<T>& own() {
+  /// Copies the elements, without the encoding, and returns the copy for modification.
+  std::vector<T>& detach() {
     shared_ = std::make_shared<Shared>(Shared{elements(), {}});
     return shared_->elements;
   }
--- a/src/routing/target_choice.cpp
+++ b/src/routing/target_choice.cpp
@@ -19,7 +19,8 @@
 }
 
 /// The ring of targets is [0, 1); router i of n owns [i/n, (i+1)/n), widened in whole multiples of
-/// 1/n until it covers enough targets, so that all routers together cover the ring evenly.
+/// 1/n until it covers at least `minimum_targets`, so that all routers together cover the ring
+/// evenly.
 std::vector<WeightedTarget> deterministic_aperture(const std::vector<common::BackendId>& targets,
                                                    const SubsetInput& input) {
   const double count = static_cast<double>(targets.size());
--- a/src/routing/zone_subset.cpp
+++ b/src/routing/zone_subset.cpp
@@ -8,8 +8,8 @@
 namespace planktray::routing {
 namespace {
 
-/// The targets, those first that this router prefers.
-std::vector<common::BackendId> in_order_of_preference(
+/// The targets by ascending rank.
+std::vector<common::BackendId> in_order_of_rank(
     std::vector<std::pair<std::uint64_t, common::BackendId>> ranked) {
   std::sort(ranked.begin(), ranked.end());
   std::vector<common::BackendId> targets;
@@ -31,8 +31,8 @@
     const std::uint64_t rank = common::hash_bytes(router, target.backend.value);
     (target.is_in_own_zone ? ranked_own : ranked_others).emplace_back(rank, target.backend);
   }
-  std::vector<common::BackendId> subset = in_order_of_preference(std::move(ranked_own));
-  const std::vector<common::BackendId> others = in_order_of_preference(std::move(ranked_others));
+  std::vector<common::BackendId> subset = in_order_of_rank(std::move(ranked_own));
+  const std::vector<common::BackendId> others = in_order_of_rank(std::move(ranked_others));
   const std::size_t wanted_others =
       std::max(options.other_zones, options.size() - std::min(options.size(), subset.size()));
   const std::size_t taken_others = std::min(others.size(), wanted_others);
--- a/src/routing/zone_subset.hpp
+++ b/src/routing/zone_subset.hpp
@@ -1,8 +1,7 @@
 #pragma once
-/// The part of a service's targets that one router works with, where a service without keys has
-/// many: each of them is then met often enough for its load to be known and for its connection to
-/// be in use again. Drawn by rendezvous hashing, so that a target that comes or goes changes
-/// little.
+/// The subset of targets that one router uses when a service without keys has many targets. Each
+/// target of a subset gets requests often enough to keep its load known and its connection open.
+/// The subset is chosen by rendezvous hashing, so that adding or removing a target changes little.
 
 #include <cstdint>
 #include <string>
@@ -13,10 +12,10 @@
 namespace planktray::routing {
 
 struct ZoneSubsetOptions {
-  /// Targets in the router's own zone. Twice the slots that a router of the largest deployment
-  /// fills at once in one service (18 requests a second, up to 0.6 s each).
+  /// Targets in the router's own zone. A router of the largest deployment has up to 11 requests of
+  /// one service in flight (18 per second, up to 0.6 s each); this is about twice as many.
   std::size_t own_zone = 20;
-  /// Targets elsewhere, for when those are full.
+  /// Targets in other zones, used when those of the own zone are full.
   std::size_t other_zones = 12;
 
   std::size_t size() const { return own_zone + other_zones; }
@@ -28,9 +27,9 @@
   bool operator==(const ZonedTarget&) const = default;
 };
 
-/// @param router its name: each router draws another subset.
-/// @return all targets where there are no more than a subset has. Where a zone has too few, the
-/// others make up for it.
+/// @param router name of the router, which seeds the choice so that routers use different subsets.
+/// @return all targets if there are no more than `options.size()`. If the own zone, or the other
+/// zones together, have too few targets, the rest of the subset comes from the other side.
 std::vector<common::BackendId> choose_zone_subset(const std::vector<ZonedTarget>& targets,
                                                   const std::string& router,
                                                   const ZoneSubsetOptions& options);
--- a/test/routing/crowded_owners_test.cpp
+++ b/test/routing/crowded_owners_test.cpp
@@ -1,4 +1,4 @@
-/// What a router does with the leader's word on owners whose queues are too long.
+/// Admission of requests for the keys of owners whose queues are too long.
 
 #include "routing/crowded_owners.hpp"
 
@@ -15,7 +15,7 @@
 
 TimePoint at(int ms) { return TimePoint(std::chrono::seconds(100)) + milliseconds(ms); }
 
-TEST_CASE("the told part of the requests for a crowded owner's keys is sent") {
+TEST_CASE("the share in the leader's list of the requests for a crowded owner's keys is sent") {
   common::RandomEngine random(1);
   CrowdedOwners owners{CrowdedOwnersOptions()};
   owners.on_leader_list(at(0), {{kCrowded, 250}});
@@ -27,7 +27,7 @@
   CHECK(sent == doctest::Approx(25).epsilon(0.05));
 }
 
-TEST_CASE("a leader's word on crowded owners ends with its lease and with the next word") {
+TEST_CASE("a list of crowded owners ends with its lease and with the next list") {
   common::RandomEngine random(1);
   CrowdedOwners owners{CrowdedOwnersOptions()};
   owners.on_leader_list(at(0), {{kCrowded, 0}});
--- a/test/routing/target_choice_test.cpp
+++ b/test/routing/target_choice_test.cpp
@@ -17,7 +17,7 @@
   return all;
 }
 
-TEST_CASE("the deterministic aperture gives every target the same share over all routers") {
+TEST_CASE("the deterministic aperture gives every target the same share, summed over all routers") {
   for (const std::uint32_t routers : {3U, 7U, 100U}) {
     std::map<common::BackendId, double> share;
     for (std::uint32_t rank = 0; rank < routers; ++rank) {
@@ -38,7 +38,7 @@
   }
 }
 
-TEST_CASE("the least outstanding of two is taken") {
+TEST_CASE("the target with fewer requests in flight is chosen") {
   common::RandomEngine random(1);
   const std::vector<Candidate> two = {{common::BackendId(1), 9, 1.0},
                                       {common::BackendId(2), 0, 1.0}};
--- a/test/routing/zone_subset_test.cpp
+++ b/test/routing/zone_subset_test.cpp
@@ -24,13 +24,13 @@
       std::count_if(subset.begin(), subset.end(), [&](BackendId id) { return id.value <= own; }));
 }
 
-TEST_CASE("few targets are all used") {
+TEST_CASE("all targets are used if there are few") {
   CHECK(choose_zone_subset(targets(5, 9), "r", {}).size() == 14);
   CHECK(choose_zone_subset(targets(20, 12), "r", {}).size() == 32);
   CHECK(choose_zone_subset({}, "r", {}).empty());
 }
 
-TEST_CASE("of many targets most are in the own zone, and others make up for what it lacks") {
+TEST_CASE("most targets are in the own zone, and other zones fill up a subset with too few") {
   const auto many = choose_zone_subset(targets(60, 300), "r", {});
   CHECK(many.size() == 32);
   CHECK(count_own(many, 60) == 20);
@@ -42,7 +42,7 @@
   CHECK(count_own(alone, 100) == 29);
 }
 
-TEST_CASE("a target that goes changes one place") {
+TEST_CASE("the removal of a target changes one element of the subset") {
   auto all = targets(60, 300);
   const auto before = choose_zone_subset(all, "r", {});
   std::erase_if(all, [&](const ZonedTarget& target) { return target.backend == before.front(); });
@@ -52,7 +52,7 @@
                       [&](BackendId id) { return !had.contains(id); }) == 1);
 }
 
-TEST_CASE("all routers of a zone together use its targets about evenly") {
+TEST_CASE("the routers of a zone together use its targets about evenly") {
   std::map<BackendId, int> uses;
   for (int router = 0; router < 47; ++router) {
     for (const BackendId id :
@@ -61,7 +61,7 @@
     }
   }
   for (std::uint64_t id = 1; id <= 56; ++id) {
-    CHECK(uses[BackendId(id)] >= 5);  // 16.8 in the mean
+    CHECK(uses[BackendId(id)] >= 5);  // 16.8 on average
     CHECK(uses[BackendId(id)] <= 30);
   }
 }
