--- a/src/link/link_scheduler.cpp
+++ b/src/link/link_scheduler.cpp
@@ -5,16 +5,16 @@
 namespace planktray::link {
 namespace {
 
-std::size_t piece_of(double rate) {
+std::size_t piece_size(double rate) {
   const double bytes = rate * std::chrono::duration<double>(kPieceTime).count();
-  return std::max(kLeastPiece, static_cast<std::size_t>(bytes));
+  return std::max(kMinPieceBytes, static_cast<std::size_t>(bytes));
 }
 
 }  // namespace
 
 LinkScheduler::LinkScheduler(double bytes_per_second, TimePoint now)
     : rate_(bytes_per_second * kScheduledShare),
-      piece_(piece_of(rate_)),
+      piece_(piece_size(rate_)),
       tokens_(static_cast<double>(piece_)),
       refilled_(now),
       last_piece_(now) {}
@@ -26,15 +26,15 @@
   }
   const BodyId id = next_id_++;
   bodies_[id] = {rank, bytes};
-  left_ += bytes;
+  remaining_ += bytes;
   return id;
 }
 
 void LinkScheduler::extend(BodyId body, std::size_t bytes) {
   const auto found = bodies_.find(body);
   if (found != bodies_.end()) {
-    found->second.left += bytes;
-    left_ += bytes;
+    found->second.remaining += bytes;
+    remaining_ += bytes;
   }
 }
 
@@ -43,12 +43,12 @@
   if (found == bodies_.end()) {
     return true;
   }
-  const std::size_t taken = std::min(bytes, found->second.left);
-  found->second.left -= taken;
-  found->second.under_way -= std::min(taken, found->second.under_way);
-  left_ -= taken;
-  passed_ += taken;
-  if (found->second.left > 0) {
+  const std::size_t transferred = std::min(bytes, found->second.remaining);
+  found->second.remaining -= transferred;
+  found->second.in_flight -= std::min(transferred, found->second.in_flight);
+  remaining_ -= transferred;
+  passed_ += transferred;
+  if (found->second.remaining > 0) {
     return false;
   }
   bodies_.erase(found);
@@ -60,16 +60,17 @@
   if (found == bodies_.end()) {
     return;
   }
-  left_ -= found->second.left;
-  tokens_ += static_cast<double>(found->second.under_way);
+  remaining_ -= found->second.remaining;
+  tokens_ += static_cast<double>(found->second.in_flight);
   bodies_.erase(found);
 }
 
 void LinkScheduler::note_small(TimePoint now, std::size_t bytes) {
   refill(now);
-  // Below that, where a piece passed in spite of small messages, it stays: nothing is given back.
-  const double least = std::min(tokens_, -static_cast<double>(piece_));
-  tokens_ = std::max(tokens_ - static_cast<double>(bytes), least);
+  // A large body's piece may be sent in spite of small messages (kLongestPause) and lower the
+  // tokens further. Small messages neither lower nor raise the tokens then.
+  const double lower_bound = std::min(tokens_, -static_cast<double>(piece_));
+  tokens_ = std::max(tokens_ - static_cast<double>(bytes), lower_bound);
 }
 
 void LinkScheduler::refill(TimePoint now) {
@@ -87,7 +88,7 @@
 
 std::map<BodyId, LinkScheduler::Body>::iterator LinkScheduler::choose() {
   const auto promised = std::find_if(bodies_.begin(), bodies_.end(), [](const auto& item) {
-    return item.second.rank == BodyRank::kPromised && item.second.under_way == 0;
+    return item.second.rank == BodyRank::kPromised && item.second.in_flight == 0;
   });
   const auto shared = choose_shared();
   if (promised == bodies_.end() || shared == bodies_.end()) {
@@ -100,10 +101,11 @@
   const bool oldest_first = shared_pieces_ % kPiecesPerOldest == 0;
   auto best = bodies_.end();
   for (auto item = bodies_.begin(); item != bodies_.end(); ++item) {
-    if (item->second.under_way > 0 || item->second.rank != BodyRank::kShared) {
+    if (item->second.in_flight > 0 || item->second.rank != BodyRank::kShared) {
       continue;
     }
-    if (best == bodies_.end() || (!oldest_first && item->second.left < best->second.left)) {
+    if (best == bodies_.end() ||
+        (!oldest_first && item->second.remaining < best->second.remaining)) {
       best = item;
     }
   }
@@ -118,8 +120,8 @@
     if (body == bodies_.end()) {
       break;
     }
-    const std::size_t bytes = std::min(piece_, body->second.left);
-    body->second.under_way = bytes;
+    const std::size_t bytes = std::min(piece_, body->second.remaining);
+    body->second.in_flight = bytes;
     tokens_ -= static_cast<double>(bytes);
     last_piece_ = now;
     ++pieces_;
@@ -130,9 +132,9 @@
 }
 
 std::optional<TimePoint> LinkScheduler::next_due() const {
-  const bool waits = std::any_of(bodies_.begin(), bodies_.end(),
-                                 [](const auto& item) { return item.second.under_way == 0; });
-  if (!waits) {
+  const bool is_waiting = std::any_of(bodies_.begin(), bodies_.end(),
+                                      [](const auto& item) { return item.second.in_flight == 0; });
+  if (!is_waiting) {
     return std::nullopt;
   }
   const double missing = std::max(0.0, static_cast<double>(piece_) - tokens_);
@@ -143,6 +145,6 @@
   return std::chrono::ceil<Duration>(std::chrono::duration<double>(bytes / rate_));
 }
 
-Duration LinkScheduler::backlog() const { return time_for(static_cast<double>(left_)); }
+Duration LinkScheduler::backlog() const { return time_for(static_cast<double>(remaining_)); }
 
 }  // namespace planktray::link
--- a/src/link/send_window.cpp
+++ b/src/link/send_window.cpp
@@ -4,19 +4,19 @@
 
 namespace planktray::link {
 
-bool SendWindow::has_room(std::size_t bytes) const {
+bool SendWindow::fits(std::size_t bytes) const {
   return bound_.empty() || time_for(bound_bytes_ + bytes) <= options_.span;
 }
 
 bool SendWindow::admits(TimePoint now, std::size_t bytes) {
-  drop_stuck(now);
-  return waiting_.empty() && has_room(bytes);
+  drop_stalled(now);
+  return waiting_.empty() && fits(bytes);
 }
 
 void SendWindow::wait(Ticket ticket, std::size_t bytes) { waiting_[ticket] = bytes; }
 
 std::map<SendWindow::Ticket, std::size_t>::const_iterator SendWindow::choose() const {
-  if (is_oldests_turn()) {
+  if (is_oldest_next()) {
     return waiting_.begin();
   }
   return std::min_element(waiting_.begin(), waiting_.end(),
@@ -24,13 +24,13 @@
 }
 
 std::optional<SendWindow::Ticket> SendWindow::next(TimePoint now) {
-  drop_stuck(now);
+  drop_stalled(now);
   const auto chosen = choose();
-  if (chosen == waiting_.end() || !has_room(chosen->second)) {
+  if (chosen == waiting_.end() || !fits(chosen->second)) {
     return std::nullopt;
   }
   const Ticket ticket = chosen->first;
-  oldest_bytes_ += is_oldests_turn() ? chosen->second : 0;
+  oldest_bytes_ += is_oldest_next() ? chosen->second : 0;
   served_bytes_ += chosen->second;
   waiting_.erase(chosen);
   return ticket;
@@ -51,11 +51,11 @@
   }
 }
 
-void SendWindow::drop_stuck(TimePoint now) {
+void SendWindow::drop_stalled(TimePoint now) {
   std::erase_if(bound_, [&](const auto& item) {
-    const bool is_stuck = now >= item.second.counts_until;
-    bound_bytes_ -= is_stuck ? item.second.bytes : 0;
-    return is_stuck;
+    const bool is_stalled = now >= item.second.counts_until;
+    bound_bytes_ -= is_stalled ? item.second.bytes : 0;
+    return is_stalled;
   });
 }
 
@@ -66,22 +66,22 @@
 }
 
 Duration SendWindow::passing_time(std::size_t bytes) const {
-  return is_bounded(bytes) ? time_for(bound_bytes_ + bytes) : Duration(0);
+  return is_limited(bytes) ? time_for(bound_bytes_ + bytes) : Duration(0);
 }
 
 Duration SendWindow::delay(std::size_t bytes) const {
-  std::size_t before = bound_bytes_;
+  std::size_t ahead = bound_bytes_;
   for (const auto& [ticket, waiting] : waiting_) {
-    before += waiting <= bytes ? waiting : 0;
+    ahead += waiting <= bytes ? waiting : 0;
   }
-  return time_for(before + bytes);
+  return time_for(ahead + bytes);
 }
 
 TimePoint SendWindow::next_due() const {
   if (waiting_.empty()) {
     return TimePoint::max();
   }
-  if (has_room(choose()->second)) {
+  if (fits(choose()->second)) {
     return TimePoint();
   }
   const auto first = std::min_element(
--- a/src/link/send_window.hpp
+++ b/src/link/send_window.hpp
@@ -1,12 +1,12 @@
 #pragma once
-/// Which large bodies may be on their way out at once. A body whose receiver is chosen only when
-/// its turn has come is written soon after: this bounds the time from the choice to the last byte.
+/// Limits how many large bodies are bound to a receiver at once. A waiting body gets its receiver
+/// only when its turn comes and is written soon after, which bounds the time from the choice of the
+/// receiver to the last byte.
 ///
-/// A plain state machine. Bodies are named by their owner's tickets.
+/// A pure state machine. The caller identifies bodies by tickets.
 ///
-/// Invariant: the bytes of bound bodies take `span` to pass at most, or there is one bound body,
-/// but for bodies that make no headway: after twice the time that they should take they no longer
-/// keep others waiting.
+/// Invariant: the bytes of all bound bodies take at most `span` to transfer, or there is only one
+/// bound body. Stalled bodies are excluded: they no longer count after twice their expected time.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,10 +19,11 @@
 namespace planktray::link {
 
 struct SendWindowOptions {
-  double bytes_per_second = 0;  ///< that the link carries; 0: not known, all bodies may go at once
-  /// Long enough for the next body's connection to come up while one is written.
+  double bytes_per_second = 0;  ///< capacity of the link; 0: not known, no limit
+  /// Longest transfer time of all bound bodies together. Long enough to establish the connection of
+  /// the next body while one body is written.
   Duration span = std::chrono::milliseconds(450);
-  /// A bound body may take this long to begin before it counts as making no headway.
+  /// Additional time for a bound body to start before it counts as stalled.
   Duration start_time = std::chrono::milliseconds(250);
 };
 
@@ -32,49 +33,49 @@
 
   explicit SendWindow(SendWindowOptions options) : options_(options) {}
 
-  /// False where a body of this size is bound at any time.
-  bool is_bounded(std::size_t bytes) const {
+  /// True if a body of this size is subject to the window. Other bodies may be bound at any time.
+  bool is_limited(std::size_t bytes) const {
     return options_.bytes_per_second > 0 && bytes > kLargeBodyBytes;
   }
-  /// True where a body that comes now need not wait for others.
+  /// True if a body that arrives now may be bound without waiting.
   bool admits(TimePoint now, std::size_t bytes);
-  /// The body waits until next() names it.
+  /// Adds a body that waits until next() returns its ticket.
   void wait(Ticket ticket, std::size_t bytes);
-  /// The next body that waits, where one may be bound now; it waits no more.
+  /// Removes and returns the next waiting body if it may be bound now.
   std::optional<Ticket> next(TimePoint now);
-  /// The body's receiver has been chosen.
+  /// Binds a body, whose receiver has been chosen.
   void bind(TimePoint now, Ticket ticket, std::size_t bytes);
-  /// The body has passed, or is not wanted any more.
+  /// Removes a body that has been transferred or is no longer needed.
   void release(Ticket ticket);
 
-  /// The longest that a body which is bound now takes to pass, as long as the link carries it.
+  /// Longest transfer time of a body that is bound now, if the link has its stated capacity.
   Duration passing_time(std::size_t bytes) const;
-  /// Expected time until a body that comes now has passed.
+  /// Expected time until a body that arrives now has been transferred, including its wait.
   Duration delay(std::size_t bytes) const;
-  /// When next() may have one, a moment long past for at once; max() while none waits.
+  /// When next() may return a body: a time in the past for immediately, max() while none waits.
   TimePoint next_due() const;
   std::size_t waiting() const { return waiting_.size(); }
 
  private:
   struct Bound {
     std::size_t bytes = 0;
-    TimePoint counts_until;
+    TimePoint counts_until;  ///< when the body counts as stalled
   };
 
-  bool has_room(std::size_t bytes) const;
-  void drop_stuck(TimePoint now);
-  /// True where the oldest of those that wait is the next, rather than the shortest.
-  bool is_oldests_turn() const { return oldest_bytes_ * kPiecesPerOldest <= served_bytes_; }
+  bool fits(std::size_t bytes) const;
+  void drop_stalled(TimePoint now);
+  /// True if the oldest waiting body is next, false if the shortest one is.
+  bool is_oldest_next() const { return oldest_bytes_ * kPiecesPerOldest <= served_bytes_; }
   std::map<Ticket, std::size_t>::const_iterator choose() const;
-  /// Time for bytes at the part of the link that promised bodies get.
+  /// Time to transfer the bytes with the share of the link for promised bodies.
   Duration time_for(std::size_t bytes) const;
 
   SendWindowOptions options_;
   std::map<Ticket, Bound> bound_;
-  std::map<Ticket, std::size_t> waiting_;  ///< bytes, in the order in which they came
+  std::map<Ticket, std::size_t> waiting_;  ///< bytes, in the order of arrival
   std::size_t bound_bytes_ = 0;
-  std::uint64_t served_bytes_ = 0;  ///< of bodies that waited
-  std::uint64_t oldest_bytes_ = 0;  ///< of these, where the oldest one's turn had come
+  std::uint64_t served_bytes_ = 0;  ///< bytes of all bodies that have waited
+  std::uint64_t oldest_bytes_ = 0;  ///< of these, of bodies chosen as the oldest
 };
 
 }  // namespace planktray::link
--- a/src/router/core/router_core_routed.cpp
+++ b/src/router/core/router_core_routed.cpp
@@ -109,7 +109,7 @@
 
 void RouterCore::dispatch_routed(TimePoint now, Request& request) {
   const std::size_t bytes = request.caller.body_bytes;
-  if (send_window_.is_bounded(bytes) && !send_window_.admits(now, bytes)) {
+  if (send_window_.is_limited(bytes) && !send_window_.admits(now, bytes)) {
     return wait_for_link(now, request);
   }
   dispatch_to_target(now, request);
@@ -192,7 +192,7 @@
   request.next_send_is_repeat = false;
   Forward effect = begin_attempt(now, request, backend);
   writes_.add(now, effect.attempt, backend, request.keyed, freshness_);
-  if (send_window_.is_bounded(request.caller.body_bytes)) {
+  if (send_window_.is_limited(request.caller.body_bytes)) {
     send_window_.bind(now, request.caller.handle, request.caller.body_bytes);
   }
   ++request.attempts;
--- a/test/link/link_scheduler_test.cpp
+++ b/test/link/link_scheduler_test.cpp
@@ -13,20 +13,20 @@
 using std::chrono::seconds;
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
-/// Bytes a second of the links of small, larger and unbounded machines.
+/// Capacities of links in bytes per second, from narrow to effectively unlimited.
 constexpr std::array<double, 3> kLinks{4.1e6 / 8, 14e6 / 8, 1000e6 / 8};
-/// What a small message may wait behind large bodies.
+/// Longest wait of a small message behind large bodies.
 constexpr Duration kSmallWait = milliseconds(30);
 
 Duration time_on(double rate, double bytes) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(bytes / rate));
 }
 
-/// Passes what the scheduler gives, one step of time after the other.
+/// Transfers the scheduler's pieces in steps of time.
 struct Run {
   explicit Run(double rate_of_link) : rate(rate_of_link), scheduler(rate_of_link, kStart) {}
 
-  /// @return the bytes that passed in this step.
+  /// @return the bytes transferred in this step.
   std::size_t step(Duration length) {
     now += length;
     std::size_t bytes = 0;
@@ -39,7 +39,7 @@
     }
     return bytes;
   }
-  void until(TimePoint end) {
+  void run_until(TimePoint end) {
     while (now < end) {
       step(milliseconds(1));
     }
@@ -53,14 +53,14 @@
 };
 
 TEST_CASE(
-    "a small message waits 30 ms at most behind large bodies, on links of every speed tested") {
+    "a small message waits at most 30 ms behind large bodies, on links of every tested capacity") {
   for (const double rate : kLinks) {
     CAPTURE(rate);
     Run run(rate);
     for (const std::size_t bytes : {540'000, 90'000, 360'000, 60'000, 90'000, 540'000}) {
       run.scheduler.add(run.now, bytes);
     }
-    // What the link itself has not sent yet: the wait of a message that is written now.
+    // Bytes that the link has not sent yet, which a message written now has to wait for.
     double queued = 0;
     double longest = 0;
     while (run.scheduler.waiting() > 0 && run.now < kStart + seconds(10)) {
@@ -73,7 +73,7 @@
   }
 }
 
-TEST_CASE("small messages do not pay back what large bodies took in spite of them") {
+TEST_CASE("small messages do not compensate for the pieces of large bodies beyond the rate") {
   constexpr double kRate = 500'000;
   const auto bytes_in = [](bool small_ones) {
     LinkScheduler scheduler(kRate, kStart);
@@ -81,7 +81,7 @@
     std::size_t passed = 0;
     for (TimePoint now = kStart; now < kStart + seconds(5); now += milliseconds(1)) {
       if (small_ones) {
-        scheduler.note_small(now, 1000);  // twice what the link carries
+        scheduler.note_small(now, 1000);  // twice the capacity of the link
       }
       for (const Piece& piece : scheduler.take(now)) {
         passed += piece.bytes;
@@ -90,7 +90,7 @@
     }
     return passed;
   };
-  // A piece each 100 ms: 14 ms of the link's time, and no more.
+  // Only one piece, or 14 ms of the link's time, per 100 ms.
   CHECK(bytes_in(true) <= bytes_in(false) / 5);
   CHECK(bytes_in(true) > 0);
 }
@@ -102,43 +102,43 @@
     const auto bytes = static_cast<std::size_t>(rate * 3);
     const BodyId body = run.scheduler.add(run.now, bytes);
     CHECK(run.scheduler.backlog() >= seconds(3));
-    run.until(kStart + seconds(1));
+    run.run_until(kStart + seconds(1));
     const double share = static_cast<double>(run.passed[body]) / rate;
     CHECK(share > kScheduledShare - 0.05);
     CHECK(share < kScheduledShare + 0.05);
   }
 }
 
-TEST_CASE("a router that froze passes one burst, not what it has missed") {
+TEST_CASE("after a suspension of the router, one bounded burst is transferred") {
   for (const double rate : kLinks) {
     CAPTURE(rate);
     Run run(rate);
     for (int i = 0; i < 20; ++i) {
       run.scheduler.add(run.now, static_cast<std::size_t>(rate));
     }
-    run.until(kStart + milliseconds(200));
+    run.run_until(kStart + milliseconds(200));
     const std::size_t burst = run.step(seconds(5));
     CHECK(time_on(rate, static_cast<double>(burst)) <= kSmallWait);
   }
 }
 
-TEST_CASE("the shortest remaining body goes first, and the longest goes on under a steady stream") {
+TEST_CASE("the body with the fewest remaining bytes goes first, and the longest is not starved") {
   Run run(kLinks[0]);
   const BodyId longest = run.scheduler.add(run.now, 540'000);
   const BodyId shortest = run.scheduler.add(run.now, 30'000);
-  run.until(kStart + milliseconds(200));
+  run.run_until(kStart + milliseconds(200));
   CHECK(run.ended.contains(shortest));
   CHECK_FALSE(run.ended.contains(longest));
-  // More than the link carries, in bodies that are all shorter.
+  // More than the capacity of the link, in bodies that are all shorter.
   while (!run.ended.contains(longest) && run.now < kStart + seconds(20)) {
     run.scheduler.add(run.now, 30'000);
-    run.until(run.now + milliseconds(50));
+    run.run_until(run.now + milliseconds(50));
   }
   REQUIRE(run.ended.contains(longest));
   CHECK(run.ended[longest] - kStart < seconds(8));
 }
 
-TEST_CASE("promised bodies pass in the order in which they came, and leave others a fourth") {
+TEST_CASE("promised bodies are transferred in order of arrival and leave a fourth to shared ones") {
   Run run(kLinks[0]);
   const BodyId shared = run.scheduler.add(run.now, 2'000'000);
   const BodyId long_one = run.scheduler.add(run.now, 360'000, BodyRank::kPromised);
@@ -153,13 +153,13 @@
   CHECK(run.passed[shared] >= 390'000 / 4);
 }
 
-TEST_CASE("small messages that fill the link hold large bodies up for a bounded time only") {
+TEST_CASE("small messages that fill the link delay large bodies for a bounded time only") {
   Run run(kLinks[0]);
   const BodyId body = run.scheduler.add(run.now, 90'000);
   Duration pause{0};
   TimePoint last = run.now;
   while (run.scheduler.waiting() > 0 && run.now < kStart + seconds(20)) {
-    run.scheduler.note_small(run.now, 2000);  // four times what the link carries
+    run.scheduler.note_small(run.now, 2000);  // four times the capacity of the link
     if (run.step(milliseconds(1)) > 0) {
       pause = std::max(pause, run.now - last);
       last = run.now;
@@ -169,7 +169,7 @@
   CHECK(pause <= kLongestPause + milliseconds(1));
 }
 
-TEST_CASE("large bodies leave small messages their part of the link") {
+TEST_CASE("large bodies leave small messages their share of the link") {
   Run run(kLinks[0]);
   const BodyId body = run.scheduler.add(run.now, 2'000'000);
   const double small = run.rate / 2;
@@ -182,21 +182,21 @@
   CHECK(both > run.rate * (kScheduledShare - 0.1));
 }
 
-TEST_CASE("a connection that ends within its body gives back what it was given") {
+TEST_CASE("a connection that ends within its body returns its unused piece") {
   Run run(kLinks[0]);
-  const BodyId leaves = run.scheduler.add(run.now, 90'000);
-  const BodyId stays = run.scheduler.add(run.now, 540'000);
+  const BodyId removed = run.scheduler.add(run.now, 90'000);
+  const BodyId kept = run.scheduler.add(run.now, 540'000);
   const auto pieces = run.scheduler.take(run.now);
   REQUIRE(pieces.size() == 1);
-  CHECK(pieces[0].body == leaves);
+  CHECK(pieces[0].body == removed);
   CHECK(run.scheduler.take(run.now).empty());
-  run.scheduler.remove(leaves);
+  run.scheduler.remove(removed);
   CHECK(run.scheduler.waiting() == 1);
   CHECK(run.scheduler.backlog() < seconds(2));
   const auto next = run.scheduler.take(run.now);
   REQUIRE(next.size() == 1);
-  CHECK(next[0].body == stays);
-  CHECK(run.scheduler.passed(leaves, 10));  // forgotten
+  CHECK(next[0].body == kept);
+  CHECK(run.scheduler.passed(removed, 10));  // already removed
 }
 
 TEST_CASE("nothing is due while no large body waits for a piece") {
@@ -207,9 +207,9 @@
   CHECK(scheduler.backlog() == Duration(0));
   const BodyId body = scheduler.add(kStart, 90'000);
   CHECK(scheduler.next_due().has_value());
-  const auto pieces = scheduler.take(kStart + milliseconds(3));  // the small message has passed
+  const auto pieces = scheduler.take(kStart + milliseconds(3));  // the small message has been sent
   REQUIRE(pieces.size() == 1);
-  CHECK_FALSE(scheduler.next_due().has_value());  // its piece is under way
+  CHECK_FALSE(scheduler.next_due().has_value());  // its piece is in flight
   CHECK_FALSE(scheduler.passed(body, pieces[0].bytes));
   REQUIRE(scheduler.next_due().has_value());
   CHECK(*scheduler.next_due() > kStart + milliseconds(3));
--- a/test/link/send_window_test.cpp
+++ b/test/link/send_window_test.cpp
@@ -11,8 +11,8 @@
 using std::chrono::seconds;
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
-constexpr double kLink = 525'000;  // bytes a second
-/// What the promised bodies of such a link get of it at least.
+constexpr double kLink = 525'000;  // bytes per second
+/// Smallest rate of promised bodies on this link.
 constexpr double kRate = kLink * kScheduledShare * kPromisedShare;
 constexpr std::size_t kBody = 60'000;
 constexpr std::size_t kLargest = 360'000;
@@ -24,7 +24,7 @@
       std::chrono::duration<double>(static_cast<double>(bytes) / kRate));
 }
 
-TEST_CASE("bodies that are bound at once pass within the span, or there is one") {
+TEST_CASE("bound bodies are transferred within the span, or there is only one") {
   SendWindow some = window();
   std::size_t bound = 0;
   SendWindow::Ticket ticket = 0;
@@ -42,13 +42,13 @@
   CHECK(one.passing_time(0) == Duration(0));
 }
 
-TEST_CASE("small bodies, and all where the link is not known, go at any time") {
-  CHECK_FALSE(window().is_bounded(kLargeBodyBytes));
-  CHECK(window().is_bounded(kLargeBodyBytes + 1));
-  CHECK_FALSE(SendWindow(SendWindowOptions{}).is_bounded(kLargest));
+TEST_CASE("small bodies, and all bodies on a link of unknown capacity, are not limited") {
+  CHECK_FALSE(window().is_limited(kLargeBodyBytes));
+  CHECK(window().is_limited(kLargeBodyBytes + 1));
+  CHECK_FALSE(SendWindow(SendWindowOptions{}).is_limited(kLargest));
 }
 
-TEST_CASE("the shortest that waits is next, and the oldest gets a fourth of the bytes") {
+TEST_CASE("the shortest waiting body is next, and the oldest ones get a fourth of the bytes") {
   SendWindow full = window();
   full.bind(kStart, 1, kLargest);
   full.wait(2, kLargest);
@@ -74,8 +74,8 @@
   CHECK(share < 0.3);
 }
 
-// Guards against a back end that does not read and holds up all other large requests.
-TEST_CASE("a body that makes no headway keeps others waiting for a bounded time only") {
+// Guards against a back end that does not read its request and blocks all other large requests.
+TEST_CASE("a stalled body blocks others for a bounded time only") {
   SendWindow stuck = window();
   stuck.bind(kStart, 1, kLargest);
   stuck.wait(2, kBody);
@@ -85,7 +85,7 @@
   CHECK(stuck.next(due) == 2);
 }
 
-TEST_CASE("a body that is not wanted any more leaves its place, bound or not") {
+TEST_CASE("a body that is no longer needed is removed, bound or waiting") {
   SendWindow some = window();
   some.bind(kStart, 1, kLargest);
   some.wait(2, kBody);
@@ -96,7 +96,7 @@
   CHECK(some.admits(kStart, kLargest));
 }
 
-TEST_CASE("the delay of a body counts what is bound and what goes before it") {
+TEST_CASE("the delay of a body includes bound bodies and waiting bodies before it") {
   SendWindow some = window();
   some.bind(kStart, 1, kLargest);
   some.wait(2, kBody);
