--- a/src/config/declaration.cpp
+++ b/src/config/declaration.cpp
@@ -13,13 +13,13 @@
 
 constexpr const char* kStep = "parse declaration";
 
-/// Thrown inside this file only; the public functions turn it into an Error.
+/// Validation error. Thrown within this file only; the public functions convert it to an Error.
 struct FieldError {
   std::string field;
   std::string reason;
 };
 
-/// Reads the fields of one JSON object and refuses those nobody asked for.
+/// Reads and validates the fields of one JSON object and rejects unknown fields.
 class ObjectReader {
  public:
   ObjectReader(const json& object, std::string path) : object_(object), path_(std::move(path)) {
@@ -42,18 +42,19 @@
     return *found;
   }
 
-  std::string name_value(const std::string& name) { return checked_name(get(name), field(name)); }
+  std::string read_name(const std::string& name) { return checked_name(get(name), field(name)); }
 
-  std::uint64_t integer(const std::string& name, std::uint64_t low, std::uint64_t high) {
+  std::uint64_t read_integer(const std::string& name, std::uint64_t low, std::uint64_t high) {
     return checked_integer(get(name), field(name), low, high);
   }
   template <typename T>
-  void optional_integer(const std::string& name, std::uint64_t low, std::uint64_t high, T& out) {
+  void read_optional_integer(const std::string& name, std::uint64_t low, std::uint64_t high,
+                             T& out) {
     if (has(name)) {
-      out = static_cast<T>(integer(name, low, high));
+      out = static_cast<T>(read_integer(name, low, high));
     }
   }
-  void optional_real(const std::string& name, double low, double high, double& out) {
+  void read_optional_real(const std::string& name, double low, double high, double& out) {
     if (!has(name)) {
       return;
     }
@@ -64,7 +65,7 @@
     }
     out = value.get<double>();
   }
-  bool boolean(const std::string& name) {
+  bool read_boolean(const std::string& name) {
     const json& value = get(name);
     if (!value.is_boolean()) {
       throw FieldError{field(name), "must be true or false"};
@@ -72,8 +73,8 @@
     return value.get<bool>();
   }
 
-  /// Refuses fields that were not read.
-  void finish() const {
+  /// Rejects fields that were not read.
+  void reject_unknown_fields() const {
     for (const auto& item : object_.items()) {
       if (!seen_.contains(item.key())) {
         throw FieldError{field(item.key()), "is not a known field"};
@@ -83,17 +84,17 @@
 
   static std::string checked_name(const json& value, const std::string& where) {
     if (!value.is_string() || !is_valid_name(value.get<std::string>())) {
-      throw FieldError{where, "must be a name of lower-case letters, digits and inner hyphens"};
+      throw FieldError{where, "must consist of lower-case letters, digits and inner hyphens"};
     }
     return value.get<std::string>();
   }
   static std::uint64_t checked_integer(const json& value, const std::string& where,
                                        std::uint64_t low, std::uint64_t high) {
-    const bool whole =
+    const bool is_unsigned =
         value.is_number_integer() && (value.is_number_unsigned() || value.get<std::int64_t>() >= 0);
-    if (!whole || value.get<std::uint64_t>() < low || value.get<std::uint64_t>() > high) {
-      throw FieldError{where, "must be a whole number from " + std::to_string(low) + " to " +
-                                  std::to_string(high)};
+    if (!is_unsigned || value.get<std::uint64_t>() < low || value.get<std::uint64_t>() > high) {
+      throw FieldError{
+          where, "must be an integer from " + std::to_string(low) + " to " + std::to_string(high)};
     }
     return value.get<std::uint64_t>();
   }
@@ -107,11 +108,11 @@
 BalancePolicy read_balance(const json& value, const std::string& path) {
   ObjectReader reader(value, path);
   BalancePolicy policy;
-  reader.optional_real("max_imbalance", 1.0, 100.0, policy.max_imbalance);
-  reader.optional_real("minimum_gain", 0.0, 10.0, policy.minimum_gain);
-  reader.optional_integer("moves_per_minute", 0, 100'000, policy.moves_per_minute);
-  reader.optional_integer("minimum_stay_ms", 0, 86'400'000, policy.minimum_stay_ms);
-  reader.finish();
+  reader.read_optional_real("max_imbalance", 1.0, 100.0, policy.max_imbalance);
+  reader.read_optional_real("minimum_gain", 0.0, 10.0, policy.minimum_gain);
+  reader.read_optional_integer("moves_per_minute", 0, 100'000, policy.moves_per_minute);
+  reader.read_optional_integer("minimum_stay_ms", 0, 86'400'000, policy.minimum_stay_ms);
+  reader.reject_unknown_fields();
   return policy;
 }
 
@@ -124,7 +125,7 @@
   std::vector<std::string> methods;
   for (const json& item : value) {
     if (!item.is_string() || !kMethods.contains(item.get<std::string>())) {
-      throw FieldError{path, "holds something that is not an HTTP method"};
+      throw FieldError{path, "contains an item that is not a supported HTTP method"};
     }
     methods.push_back(item.get<std::string>());
   }
@@ -134,58 +135,60 @@
 ServiceTemplate read_service(const json& value, const std::string& path) {
   ObjectReader reader(value, path);
   ServiceTemplate service;
-  service.name.value = reader.name_value("name");
-  service.pool.value = reader.name_value("pool");
-  service.keyed = reader.boolean("keyed");
+  service.name.value = reader.read_name("name");
+  service.pool.value = reader.read_name("pool");
+  service.keyed = reader.read_boolean("keyed");
   if (service.keyed) {
-    service.shards = static_cast<std::uint32_t>(reader.integer("shards", 1, kMaxShardsPerService));
-    reader.optional_integer("hash_seed", 0, UINT64_MAX, service.hash_seed);
+    service.shards =
+        static_cast<std::uint32_t>(reader.read_integer("shards", 1, kMaxShardsPerService));
+    reader.read_optional_integer("hash_seed", 0, UINT64_MAX, service.hash_seed);
   }
-  reader.optional_integer("minimum_targets", 1, kMaxTargets, service.minimum_targets);
-  reader.optional_integer("maximum_targets", 1, kMaxTargets, service.maximum_targets);
+  reader.read_optional_integer("minimum_targets", 1, kMaxTargets, service.minimum_targets);
+  reader.read_optional_integer("maximum_targets", 1, kMaxTargets, service.maximum_targets);
   if (service.maximum_targets < service.minimum_targets) {
-    throw FieldError{reader.field("maximum_targets"), "is below minimum_targets"};
+    throw FieldError{reader.field("maximum_targets"), "must not be below minimum_targets"};
   }
-  service.slots = static_cast<std::uint32_t>(reader.integer("slots", 1, 100'000));
-  service.connections = static_cast<std::uint32_t>(reader.integer("connections", 1, 1'000'000));
+  service.slots = static_cast<std::uint32_t>(reader.read_integer("slots", 1, 100'000));
+  service.connections =
+      static_cast<std::uint32_t>(reader.read_integer("connections", 1, 1'000'000));
   if (reader.has("repeatable_methods")) {
     service.repeatable_methods =
         read_methods(reader.get("repeatable_methods"), reader.field("repeatable_methods"));
   }
-  reader.optional_integer("default_timeout_ms", 1, kMaxTimeoutMs, service.default_timeout_ms);
-  reader.optional_integer("queue_limit", 0, 1'000'000, service.queue_limit);
+  reader.read_optional_integer("default_timeout_ms", 1, kMaxTimeoutMs, service.default_timeout_ms);
+  reader.read_optional_integer("queue_limit", 0, 1'000'000, service.queue_limit);
   if (reader.has("balance")) {
     service.balance = read_balance(reader.get("balance"), reader.field("balance"));
   }
-  reader.finish();
+  reader.reject_unknown_fields();
   return service;
 }
 
 Template read_template(const json& value) {
   ObjectReader reader(value, "");
   Template declaration;
-  declaration.name.value = reader.name_value("template");
+  declaration.name.value = reader.read_name("template");
   const json& services = reader.get("service");
   if (!services.is_array() || services.empty()) {
-    throw FieldError{"service", "must be a list with at least one service"};
+    throw FieldError{"service", "must be a list of at least one service"};
   }
   std::set<std::string> names;
   for (std::size_t i = 0; i < services.size(); ++i) {
     const std::string path = "service[" + std::to_string(i) + "]";
     declaration.services.push_back(read_service(services[i], path));
     if (!names.insert(declaration.services.back().name.value).second) {
-      throw FieldError{path + ".name", "stands twice"};
+      throw FieldError{path + ".name", "is used by an earlier service"};
     }
   }
-  reader.finish();
+  reader.reject_unknown_fields();
   return declaration;
 }
 
 Tenant read_tenant(const json& value) {
   ObjectReader reader(value, "");
   Tenant tenant;
-  tenant.name.value = reader.name_value("tenant");
-  tenant.template_name.value = reader.name_value("template");
+  tenant.name.value = reader.read_name("tenant");
+  tenant.template_name.value = reader.read_name("template");
   if (reader.has("zones")) {
     const json& zones = reader.get("zones");
     if (!zones.is_array()) {
@@ -198,7 +201,7 @@
   }
   const json& targets = reader.get("targets");
   if (!targets.is_object() || targets.empty()) {
-    throw FieldError{"targets", "must be a table with at least one service"};
+    throw FieldError{"targets", "must be a table of at least one service"};
   }
   for (const auto& item : targets.items()) {
     const std::string path = "targets." + item.key();
@@ -206,7 +209,7 @@
     tenant.targets[common::ServiceName(ObjectReader::checked_name(json(item.key()), path))] =
         static_cast<std::uint32_t>(count);
   }
-  reader.finish();
+  reader.reject_unknown_fields();
   return tenant;
 }
 
@@ -214,7 +217,7 @@
 common::Result<T> parse_with(const std::string& text, T (*read)(const json&)) {
   const json value = json::parse(text, nullptr, false);
   if (value.is_discarded()) {
-    return common::fail(ErrorCode::kInvalid, kStep, "", "not a valid document");
+    return common::fail(ErrorCode::kInvalid, kStep, "", "not valid JSON");
   }
   try {
     return read(value);
@@ -296,9 +299,10 @@
                                                   const Tenant& tenant) {
   std::vector<ServiceConfig> services;
   for (const auto& [name, count] : tenant.targets) {
-    const common::ServiceName& wanted = name;
-    const auto found = std::find_if(declaration.services.begin(), declaration.services.end(),
-                                    [&](const auto& service) { return service.name == wanted; });
+    const common::ServiceName& service_name = name;
+    const auto found =
+        std::find_if(declaration.services.begin(), declaration.services.end(),
+                     [&](const auto& service) { return service.name == service_name; });
     if (found == declaration.services.end()) {
       return common::fail(
           ErrorCode::kInvalid, "expand tenant", "",
