--- a/src/config/route_configuration.cpp
+++ b/src/config/route_configuration.cpp
@@ -31,20 +31,20 @@
       return invalid(item, "service " + part.service.value + " is not known");
     }
     if (!std::isfinite(part.weight) || part.weight < 0) {
-      return invalid(item, "weight of " + part.service.value + " must not be below 0");
+      return invalid(item, "weight of " + part.service.value + " must be finite and not negative");
     }
   }
   return {};
 }
 
 common::Result<void> check(const RouteConfiguration& configuration) {
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> hosts_and_prefixes;
   for (const auto& [name, route] : configuration.routes) {
     if (auto valid = check_route(route, configuration); !valid) {
       return valid;
     }
-    if (!places.insert({route.host, route.path_prefix}).second) {
-      return invalid("route " + name, "another route has the same host and prefix");
+    if (!hosts_and_prefixes.insert({route.host, route.path_prefix}).second) {
+      return invalid("route " + name, "another route has the same host and path prefix");
     }
   }
   return {};
@@ -52,12 +52,13 @@
 
 }  // namespace
 
-common::Result<RouteConfiguration> apply_change(const RouteConfiguration& present,
+common::Result<RouteConfiguration> apply_change(const RouteConfiguration& current,
                                                 const RouteChange& change) {
-  if (change.version <= present.version) {
-    return invalid("version", "must be above the present one, " + std::to_string(present.version));
+  if (change.version <= current.version) {
+    return invalid("version",
+                   "must be above the current version, " + std::to_string(current.version));
   }
-  RouteConfiguration next = change.replaces_all ? RouteConfiguration() : present;
+  RouteConfiguration next = change.replaces_all ? RouteConfiguration() : current;
   next.version = change.version;
   next.base_version = change.base_version;
   for (const std::string& name : change.removed_routes) {
@@ -66,16 +67,16 @@
   for (const std::string& name : change.removed_services) {
     next.services.erase(name);
   }
-  std::set<std::string> named;
+  std::set<std::string> seen_names;
   for (const Route& route : change.routes) {
-    if (!named.insert(route.name).second) {
+    if (!seen_names.insert(route.name).second) {
       return invalid("route " + route.name, "is named twice");
     }
     next.routes[route.name] = route;
   }
-  named.clear();
+  seen_names.clear();
   for (const RoutedService& service : change.services) {
-    if (!named.insert(service.name.value).second) {
+    if (!seen_names.insert(service.name.value).second) {
       return invalid("service " + service.name.value, "is named twice");
     }
     next.services[service.name.value] = service;
