--- a/src/storage/disk.hpp
+++ b/src/storage/disk.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// The seam to the file system. The process uses files, the simulator a virtual disk with faults.
+/// Interface to the file system. Processes use files; the simulator uses a virtual disk with
+/// faults.
 
 #include <string>
 #include <vector>
@@ -8,7 +9,8 @@
 
 namespace planktray::storage {
 
-/// A flat folder of files. Nothing lasts before the call that says so has returned.
+/// A flat folder of files. A change is durable only after the call that is documented to make it
+/// durable has returned.
 class Disk {
  public:
   Disk() = default;
@@ -19,13 +21,13 @@
   virtual std::vector<std::string> list() const = 0;
   /// @return the bytes of a file; kNotFound or kIo.
   virtual common::Result<std::string> read(const std::string& name) const = 0;
-  /// Appends to a file, making it where it does not exist. Lasts after sync().
+  /// Appends to a file and creates it if it does not exist. Durable after sync().
   virtual common::Result<void> append(const std::string& name, const std::string& bytes) = 0;
-  /// Makes all appended bytes of a file last.
+  /// Makes all appended bytes of a file durable.
   virtual common::Result<void> sync(const std::string& name) = 0;
-  /// Replaces a file as a whole; lasting when the call returns.
+  /// Replaces the whole content of a file. Durable when the call returns.
   virtual common::Result<void> replace(const std::string& name, const std::string& bytes) = 0;
-  /// Cuts a file to `size` bytes.
+  /// Truncates a file to `size` bytes.
   virtual common::Result<void> truncate(const std::string& name, std::size_t size) = 0;
   virtual common::Result<void> remove(const std::string& name) = 0;
 };
