--- a/src/storage/record.cpp
+++ b/src/storage/record.cpp
@@ -12,26 +12,27 @@
 constexpr std::uint64_t kChecksumSeed = 0x706c616e6b;
 
 template <typename T>
-void put(std::string& out, T value) {
+void append_value(std::string& out, T value) {
   char bytes[sizeof(T)];
   std::memcpy(bytes, &value, sizeof(T));
   out.append(bytes, sizeof(T));
 }
 
 template <typename T>
-T take(std::string_view in, std::size_t offset) {
+T read_value(std::string_view in, std::size_t offset) {
   T value{};
   std::memcpy(&value, in.data() + offset, sizeof(T));
   return value;
 }
 
-/// @return the payload of the whole, undamaged record at `offset`.
+/// @return the payload of the record at `offset`, or nothing if it is incomplete or damaged.
 std::optional<std::string_view> record_at(std::string_view file, std::size_t offset) {
-  if (file.size() - offset < kRecordHeaderBytes || take<std::uint64_t>(file, offset) != kMagic) {
+  if (file.size() - offset < kRecordHeaderBytes ||
+      read_value<std::uint64_t>(file, offset) != kMagic) {
     return std::nullopt;
   }
-  const auto length = take<std::uint32_t>(file, offset + 8);
-  const auto checksum = take<std::uint64_t>(file, offset + 12);
+  const auto length = read_value<std::uint32_t>(file, offset + 8);
+  const auto checksum = read_value<std::uint64_t>(file, offset + 12);
   if (file.size() - offset - kRecordHeaderBytes < length) {
     return std::nullopt;
   }
@@ -42,7 +43,7 @@
   return payload;
 }
 
-bool holds_record_after(std::string_view file, std::size_t offset) {
+bool has_record_from(std::string_view file, std::size_t offset) {
   for (std::size_t i = offset; i + kRecordHeaderBytes <= file.size(); ++i) {
     if (record_at(file, i).has_value()) {
       return true;
@@ -57,9 +58,9 @@
   std::string out;
   out.reserve(kRecordHeaderBytes + payload.size());
   const auto length = static_cast<std::uint32_t>(payload.size());
-  put(out, kMagic);
-  put(out, length);
-  put(out, common::hash_bytes(payload, kChecksumSeed + length));
+  append_value(out, kMagic);
+  append_value(out, length);
+  append_value(out, common::hash_bytes(payload, kChecksumSeed + length));
   out.append(payload);
   return out;
 }
@@ -69,11 +70,10 @@
   while (result.valid_bytes < file.size()) {
     const auto payload = record_at(file, result.valid_bytes);
     if (!payload.has_value()) {
-      if (holds_record_after(file, result.valid_bytes + 1)) {
+      if (has_record_from(file, result.valid_bytes + 1)) {
         return common::fail(common::ErrorCode::kCorrupt, "read log", "",
                             file_name + " is damaged at byte " +
-                                std::to_string(result.valid_bytes) +
-                                " with whole records behind it");
+                                std::to_string(result.valid_bytes) + ", before intact records");
       }
       break;
     }
