--- a/src/storage/log_store.cpp
+++ b/src/storage/log_store.cpp
@@ -18,16 +18,16 @@
 constexpr const char* kIdentityFile = "identity";
 constexpr std::string_view kLogPrefix = "log-";
 
-/// One record of the log file. Optional parts are lists of at most one element.
+/// One persisted request. Optional fields are lists of at most one element.
 struct LogRecord {
   std::vector<consensus::HardState> hard_state;
   std::vector<consensus::Snapshot> snapshot;
-  common::LogIndex truncate_from;  ///< 0 is nothing
+  common::LogIndex truncate_from;  ///< 0: no truncation
   std::vector<consensus::Entry> entries;
   MSGPACK_DEFINE_ARRAY(hard_state, snapshot, truncate_from, entries)
 };
 
-LogRecord to_record(const PersistRequest& request) {
+LogRecord to_log_record(const PersistRequest& request) {
   LogRecord record;
   if (request.hard_state.has_value()) {
     record.hard_state.push_back(*request.hard_state);
@@ -80,7 +80,7 @@
     return tl::unexpected(opened.error());
   }
   generation_ = 0;
-  good_bytes_ = 0;
+  valid_bytes_ = 0;
   for (const std::string& name : disk_.list()) {
     generation_ = std::max(generation_, generation_of(name).value_or(0));
   }
@@ -107,7 +107,7 @@
       apply_record(std::move(record), state);
     }
   }
-  good_bytes_ = scanned->valid_bytes;
+  valid_bytes_ = scanned->valid_bytes;
   if (scanned->valid_bytes < bytes->size()) {
     if (auto cut = disk_.truncate(name, scanned->valid_bytes); !cut) {
       return tl::unexpected(cut.error());
@@ -156,7 +156,7 @@
 }
 
 common::Result<std::size_t> LogStore::write(const std::vector<PersistRequest>& requests) {
-  // The last snapshot request repeats all that still counts of what came before it.
+  // The last request with a snapshot includes everything still valid from the requests before it.
   const auto last = std::find_if(requests.rbegin(), requests.rend(),
                                  [](const auto& request) { return request.snapshot.has_value(); });
   auto next = requests.begin();
@@ -166,19 +166,19 @@
     }
     next = last.base();
   }
-  // One framed record a call: a torn write then damages nothing but the tail of the file.
+  // One framed record per call, so that a torn write damages only the tail of the file.
   std::vector<LogRecord> pending;
-  std::transform(next, requests.end(), std::back_inserter(pending), to_record);
+  std::transform(next, requests.end(), std::back_inserter(pending), to_log_record);
   if (pending.empty()) {
     return 0;
   }
   const std::string framed = frame_record(common::encode(pending));
   if (auto appended = disk_.append(file_name(generation_), framed); !appended) {
-    // A part may have been taken; whole records behind it would look like damage.
-    broken_ = !disk_.truncate(file_name(generation_), good_bytes_).has_value();
+    // Some bytes may have been written. Intact records after them would look like corruption.
+    broken_ = !disk_.truncate(file_name(generation_), valid_bytes_).has_value();
     return tl::unexpected(appended.error());
   }
-  good_bytes_ += framed.size();
+  valid_bytes_ += framed.size();
   return framed.size();
 }
 
@@ -191,13 +191,13 @@
 common::Result<void> LogStore::start_generation(const PersistRequest& request) {
   const std::string old_name = file_name(generation_);
   ++generation_;
-  const std::vector<LogRecord> records = {to_record(request)};
+  const std::vector<LogRecord> records = {to_log_record(request)};
   const std::string record = frame_record(common::encode(records));
   if (auto replaced = disk_.replace(file_name(generation_), record); !replaced) {
     --generation_;
     return replaced;
   }
-  good_bytes_ = record.size();
+  valid_bytes_ = record.size();
   return disk_.remove(old_name);
 }
 
--- a/src/storage/log_store.hpp
+++ b/src/storage/log_store.hpp
@@ -1,9 +1,10 @@
 #pragma once
 /// Durable state of one controller: identity, snapshot and log, as checksummed records.
 ///
-/// Files: `identity` names the incarnation of the folder; `log-N` starts with a snapshot record and
-/// takes every later change as an appended record. A new snapshot makes `log-N+1` as a whole and
-/// then drops `log-N`, so at every moment one file is enough to recover.
+/// Files: `identity` identifies the replica and its cell; `log-N` starts with a snapshot record, if
+/// one was taken, followed by an appended record for each group of later changes. A new snapshot is
+/// written to `log-N+1` in one step before `log-N` is removed, so a single log file is always
+/// enough to recover.
 
 #include <cstdint>
 #include <memory>
@@ -17,38 +18,41 @@
 
 namespace planktray::storage {
 
-/// Who this data folder is: made once, never changed.
+/// Identity of a data folder: created once, never changed.
 struct Identity {
   common::CellName cell;
   common::ReplicaId replica;
-  /// The members that made the cell, where this folder was made by one of them. They are synced
-  /// before the folder's first vote, so that a restart goes on with the same ones.
+  /// Initial members of the cell if this replica is one of them, otherwise empty. They are synced
+  /// before the replica's first vote, so that a restart continues with the same members.
   consensus::Membership founders;
   bool operator==(const Identity&) const = default;
   MSGPACK_DEFINE_MAP(cell, replica, founders)
 };
 
+/// Reads and writes the durable state of one replica in a data folder.
 class LogStore {
  public:
   /// @param disk must outlive the store.
   explicit LogStore(Disk& disk) : disk_(disk) {}
 
-  /// Reads the folder, cutting a torn tail; makes an identity where the folder is empty.
-  /// @return kCorrupt where synced data is damaged: the disk counts as lost.
-  /// @param founder where the folder is empty and this process is one of the makers of the cell:
-  ///   its identity; nothing otherwise, and an empty folder becomes a new replica.
+  /// Reads the folder and truncates a torn tail. Writes an identity if the folder is empty.
+  /// @param founder identity to write to an empty folder if this process is an initial member of
+  ///   the cell. If not set, an empty folder becomes a new replica.
+  /// @return kCorrupt if synced data is damaged: the disk then counts as lost.
   common::Result<consensus::DurableState> open(const common::CellName& cell,
                                                common::RandomEngine& random,
                                                const std::optional<Identity>& founder = {});
   const Identity& identity() const { return identity_; }
 
-  /// Writes a group of requests with one sync. @return the bytes written. A group that the disk
-  /// refuses to take leaves no trace and may be tried again; after a failed sync nothing is known
-  /// of the file any more, and is_broken() says so.
+  /// Writes a group of requests and syncs once. A group that the disk fails to write leaves no data
+  /// behind and may be retried. After a failed sync the content of the file is unknown, and
+  /// is_broken() returns true.
+  /// @return the number of bytes written.
   common::Result<std::size_t> persist(const std::vector<consensus::PersistRequest>& requests);
-  /// Two halves of persist(), for a virtual disk whose sync takes time.
+  /// The two steps of persist(), for a virtual disk whose sync takes time.
   common::Result<std::size_t> write(const std::vector<consensus::PersistRequest>& requests);
   common::Result<void> sync();
+  /// True after a failed sync or a failed removal of a partial write.
   bool is_broken() const { return broken_; }
 
  private:
@@ -60,7 +64,7 @@
   Disk& disk_;
   Identity identity_;
   std::uint64_t generation_ = 0;
-  std::size_t good_bytes_ = 0;  ///< of the present file: whole records
+  std::size_t valid_bytes_ = 0;  ///< size of the intact records in the current log file
   bool broken_ = false;
 };
 
--- a/test/storage/log_store_test.cpp
+++ b/test/storage/log_store_test.cpp
@@ -23,7 +23,7 @@
   return request;
 }
 
-std::string only_log(const sim::VirtualDisk& disk) {
+std::string find_log(const sim::VirtualDisk& disk) {
   for (const std::string& name : disk.list()) {
     if (name.starts_with("log-")) {
       return name;
@@ -32,33 +32,33 @@
   return "";
 }
 
-TEST_CASE("what was persisted is found again, under the same identity") {
+TEST_CASE("reopening a store restores its entries and identity") {
   sim::VirtualDisk disk;
   common::RandomEngine random(1);
   LogStore store(disk);
   REQUIRE(store.open(kCell, random).has_value());
   REQUIRE(store.persist({entry_request(1), entry_request(2)}).has_value());
-  LogStore again(disk);
-  const auto state = again.open(kCell, random);
+  LogStore reopened(disk);
+  const auto state = reopened.open(kCell, random);
   REQUIRE(state.has_value());
-  CHECK(again.identity() == store.identity());
+  CHECK(reopened.identity() == store.identity());
   REQUIRE(state->entries.size() == 2);
   CHECK(state->entries[1].payload == "payload 2");
 }
 
-TEST_CASE("an empty folder is a new replica") {
+TEST_CASE("an empty folder becomes a new replica") {
   sim::VirtualDisk disk;
   common::RandomEngine random(1);
   LogStore store(disk);
   REQUIRE(store.open(kCell, random).has_value());
   const auto before = store.identity();
   disk.wipe();
-  LogStore again(disk);
-  REQUIRE(again.open(kCell, random).has_value());
-  CHECK(again.identity().replica != before.replica);
+  LogStore reopened(disk);
+  REQUIRE(reopened.open(kCell, random).has_value());
+  CHECK(reopened.identity().replica != before.replica);
 }
 
-TEST_CASE("a folder of another cell is refused") {
+TEST_CASE("opening a folder of another cell fails") {
   sim::VirtualDisk disk;
   common::RandomEngine random(1);
   REQUIRE(LogStore(disk).open(kCell, random).has_value());
@@ -67,13 +67,13 @@
   CHECK(opened.error().code == common::ErrorCode::kInvalid);
 }
 
-TEST_CASE("a torn tail is cut at every byte") {
+TEST_CASE("a tail that is torn at any byte is truncated") {
   sim::VirtualDisk whole;
   common::RandomEngine random(1);
   LogStore store(whole);
   REQUIRE(store.open(kCell, random).has_value());
   REQUIRE(store.persist({entry_request(1)}).has_value());
-  const std::string log = only_log(whole);
+  const std::string log = find_log(whole);
   const std::size_t first = whole.read(log)->size();
   REQUIRE(store.persist({entry_request(2)}).has_value());
   const std::string bytes = *whole.read(log);
@@ -82,18 +82,18 @@
     sim::VirtualDisk torn;
     REQUIRE(torn.replace("identity", identity).has_value());
     REQUIRE(torn.replace(log, bytes.substr(0, size)).has_value());
-    LogStore again(torn);
-    const auto state = again.open(kCell, random);
+    LogStore reopened(torn);
+    const auto state = reopened.open(kCell, random);
     REQUIRE(state.has_value());
     CHECK(state->entries.size() == 1);
     CHECK(torn.read(log)->size() == first);
-    // What is written next must be found behind the cut.
-    REQUIRE(again.persist({entry_request(2)}).has_value());
+    // The next write must be readable after the truncation.
+    REQUIRE(reopened.persist({entry_request(2)}).has_value());
     CHECK(LogStore(torn).open(kCell, random)->entries.size() == 2);
   }
 }
 
-TEST_CASE("damage before the tail means the disk is lost") {
+TEST_CASE("damage before the last record is reported as corruption") {
   sim::VirtualDisk disk;
   common::RandomEngine random(1);
   LogStore store(disk);
@@ -101,7 +101,7 @@
   for (std::uint64_t i = 1; i <= 3; ++i) {
     REQUIRE(store.persist({entry_request(i)}).has_value());
   }
-  const std::string log = only_log(disk);
+  const std::string log = find_log(disk);
   std::string bytes = *disk.read(log);
   bytes[kRecordHeaderBytes + 3] = static_cast<char>(bytes[kRecordHeaderBytes + 3] ^ 0x40);
   REQUIRE(disk.replace(log, bytes).has_value());
@@ -128,14 +128,14 @@
   CHECK(state->entries[0].index == LogIndex(3));
 }
 
-TEST_CASE("random bytes are never a log and never a crash") {
+TEST_CASE("scanning random bytes neither crashes nor reports more valid bytes than given") {
   rc::check([](const std::string& bytes) {
     const auto scanned = scan_records(bytes, "log");
     RC_ASSERT(!scanned.has_value() || scanned->valid_bytes <= bytes.size());
   });
 }
 
-/// A disk that takes no more bytes while it is full; of the first it takes a part.
+/// A disk whose writes fail while it is full. A failed append writes the first half of its bytes.
 class FullDisk final : public sim::VirtualDisk {
  public:
   common::Result<void> append(const std::string& name, const std::string& bytes) override {
@@ -153,7 +153,7 @@
   bool full = false;
 };
 
-TEST_CASE("what a full disk refuses may be written again, and nothing is damaged") {
+TEST_CASE("a write that failed on a full disk can be retried without damage") {
   FullDisk disk;
   common::RandomEngine random(1);
   LogStore store(disk);
@@ -168,8 +168,8 @@
   disk.full = false;
   REQUIRE(store.persist({entry_request(2)}).has_value());
   REQUIRE(store.persist({entry_request(3)}).has_value());
-  LogStore again(disk);
-  const auto state = again.open(kCell, random);
+  LogStore reopened(disk);
+  const auto state = reopened.open(kCell, random);
   REQUIRE(state.has_value());
   CHECK(state->entries.size() == 3);
 }
