--- a/src/controller/core/controller_core.cpp
+++ b/src/controller/core/controller_core.cpp
@@ -163,7 +163,7 @@
 TimePoint ControllerCore::next_due(TimePoint now) const {
   TimePoint due = std::min(raft_.next_due(), now + kMaxTickInterval);
   if (!raft_.is_leader()) {
-    if (!heard_.empty() || !updates_.empty()) {
+    if (!heartbeats_.empty() || !updates_.empty()) {
       due = std::min(due, next_report_);
     }
     return std::max(due, now + kMinTickInterval);
--- a/src/controller/core/controller_core.hpp
+++ b/src/controller/core/controller_core.hpp
@@ -331,7 +331,7 @@
   common::LogIndex planned_state_;     ///< the state that the last plan was made from
   TimePoint next_balance_;
   TimePoint next_join_;
-  std::vector<membership::BackendHeartbeat> heard_;   ///< on a follower, since its last report
+  std::vector<membership::BackendHeartbeat> heartbeats_;  ///< on a follower, since its last report
   std::vector<membership::BackendUpdate> updates_;  ///< on a follower, not yet sent to the leader
   std::map<OperatorRequestId, RelayedUpdate> relayed_;
   TimePoint next_report_;
--- a/src/controller/core/controller_core_backends.cpp
+++ b/src/controller/core/controller_core_backends.cpp
@@ -60,7 +60,7 @@
                  ? complete_now(tl::unexpected(not_leader("accept heartbeat")))
                  : relay_update(now, request, update_of(heartbeat));
     }
-    heard_.push_back({heartbeat.incarnation, heartbeat.sequence, heartbeat.cold_ms});
+    heartbeats_.push_back({heartbeat.incarnation, heartbeat.sequence, heartbeat.cold_ms});
     complete_now(state_.applied());
     return step(now);
   }
@@ -166,12 +166,12 @@
 }
 
 void ControllerCore::report_heartbeats(TimePoint now) {
-  if ((heard_.empty() && updates_.empty()) || now < next_report_) {
+  if ((heartbeats_.empty() && updates_.empty()) || now < next_report_) {
     return;
   }
   next_report_ = now + kReportInterval;
-  output_.heartbeat_report = membership::HeartbeatReport{options_.cell, std::exchange(heard_, {}),
-                                                         std::exchange(updates_, {})};
+  output_.heartbeat_report = membership::HeartbeatReport{
+      options_.cell, std::exchange(heartbeats_, {}), std::exchange(updates_, {})};
 }
 
 void ControllerCore::apply_relayed(TimePoint now, const membership::BackendUpdate& update) {
@@ -221,13 +221,13 @@
   for (const membership::BackendUpdate& update : report.updates) {
     apply_relayed(now, update);
   }
-  for (const membership::BackendHeartbeat& heard : report.heartbeats) {
-    const bool is_current = ranges_.record_heartbeat(now, heard.incarnation, heard.sequence,
-                                                     std::chrono::milliseconds(heard.cold_ms));
+  for (const membership::BackendHeartbeat& heartbeat : report.heartbeats) {
+    const bool is_current = ranges_.record_heartbeat(now, heartbeat.incarnation, heartbeat.sequence,
+                                                     std::chrono::milliseconds(heartbeat.cold_ms));
     if (!is_current || !ranges_.grants().has_unreachable()) {
       continue;
     }
-    if (const auto* known = state_.find_incarnation(heard.incarnation)) {
+    if (const auto* known = state_.find_incarnation(heartbeat.incarnation)) {
       ranges_.record_alive(now, known->id);
     }
   }
--- a/src/controller/core/controller_members.cpp
+++ b/src/controller/core/controller_members.cpp
@@ -25,9 +25,9 @@
     }
     // The member's data folder was lost: the candidate has its name and a new folder.
     replaced_.insert(member.id);
-    const auto heard = raft_.last_contact(member.id);
+    const auto last_contact = raft_.last_contact(member.id);
     const bool silent = now - raft_.leader_since() > options_.replace_after &&
-                        (!heard.has_value() || now - *heard > options_.replace_after);
+                        (!last_contact.has_value() || now - *last_contact > options_.replace_after);
     if (member.id == raft_.self() || !silent) {
       return;  // the name is in use
     }
@@ -142,8 +142,8 @@
   if (id == raft_.self()) {
     return true;
   }
-  const auto heard = raft_.last_contact(id);
-  return heard.has_value() && now - *heard < window;
+  const auto last_contact = raft_.last_contact(id);
+  return last_contact.has_value() && now - *last_contact < window;
 }
 
 }  // namespace planktray::controller
