--- a/src/transport/descriptor_watch.cpp
+++ b/src/transport/descriptor_watch.cpp
@@ -11,7 +11,7 @@
 
 namespace planktray::transport {
 
-/// The event queue of the process. Its source stays until the process ends.
+/// The epoll queue of the process. Its main loop source stays until the process ends.
 class DescriptorQueue {
  public:
   static DescriptorQueue& instance() {
@@ -35,12 +35,12 @@
   }
 
  private:
-  /// Events asked for at once.
+  /// Events fetched by one epoll_wait() call.
   static constexpr std::size_t kBatch = 16;
 
   DescriptorQueue() : queue_(epoll_create1(EPOLL_CLOEXEC)) {
-    // As high as the sockets between the system's own processes: with a lower one, connections are
-    // not served at all while those have something to say.
+    // The same priority as the ZeroMQ sockets: with a lower one, connections are not served at all
+    // while messages keep arriving on those sockets.
     g_unix_fd_add_full(G_PRIORITY_HIGH, queue_, G_IO_IN, on_ready, this, nullptr);
   }
   static gboolean on_ready(gint /*fd*/, GIOCondition /*condition*/, gpointer self) {
@@ -52,7 +52,7 @@
     while (dispatch_batch() == kBatch && !budget.is_spent()) {
     }
   }
-  /// @return the number of events that were there.
+  /// @return the number of events handled.
   std::size_t dispatch_batch() {
     std::array<epoll_event, kBatch> events{};
     const int count = epoll_wait(queue_, events.data(), kBatch, 0);
--- a/src/transport/descriptor_watch.hpp
+++ b/src/transport/descriptor_watch.hpp
@@ -1,10 +1,10 @@
 #pragma once
-/// Readiness of sockets, through one event queue of the system: the main loop looks at one source
-/// instead of one for each connection, whose number its time for every event would grow with
-/// (measured: 1.4 us with 5 sources, 19 us with 300; docs/DECISIONS.md).
+/// Readiness of sockets through one epoll queue. The main loop polls one source instead of one for
+/// each connection, since its time for each event grows with the number of sources (1.4 us with 5
+/// sources, 19 us with 300; docs/DECISIONS.md).
 ///
-/// Invariant: a watch that is destroyed is never called again, also not for events that were
-/// fetched before.
+/// Invariant: the callback of a destroyed watch is never called, not even for events that were
+/// fetched before its destruction.
 
 #include <cstdint>
 #include <functional>
@@ -14,9 +14,9 @@
 class DescriptorWatch {
  public:
   struct Readiness {
-    bool readable = false;  ///< also where the connection has ended
-    bool writable = false;  ///< also where the connection has failed
-    /// The peer sends no more: what it has sent has come, or the connection has failed.
+    bool readable = false;  ///< also set when the connection has ended
+    bool writable = false;  ///< also set when the connection has failed
+    /// The peer sends no more data: all that it sent has arrived, or the connection has failed.
     bool hung_up = false;
   };
   /// Called from the main loop; may destroy the watch.
@@ -28,8 +28,9 @@
   DescriptorWatch& operator=(const DescriptorWatch&) = delete;
   ~DescriptorWatch();
 
-  /// Calls back whenever the descriptor is ready for what is wanted.
-  /// @param hang_up also when the peer sends no more; for descriptors that are not read for now.
+  /// Selects the events for which the callback is called.
+  /// @param hang_up also report that the peer sends no more data; for descriptors whose reading is
+  ///   paused.
   void want(bool read, bool write, bool hang_up = false);
 
  private:
@@ -38,7 +39,7 @@
   int descriptor_;
   Callback callback_;
   std::uint64_t token_;
-  std::uint32_t wanted_ = 0;  ///< event mask at the queue; 0: not there
+  std::uint32_t wanted_ = 0;  ///< event mask registered with epoll; 0: not registered
 };
 
 }  // namespace planktray::transport
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -33,13 +33,14 @@
                                                       std::chrono::nanoseconds(value.tv_nsec));
 }
 
-/// Turns of the main loop, seen from its waits. GLib calls it from the loop's thread alone.
+/// Duration of the main loop's iterations, measured between its waits for events. Used only on the
+/// loop's thread.
 struct TurnWatch {
   common::TimePoint began;
   common::Duration longest{0};
 };
 
-/// Suspensions of the machine since the process began.
+/// Suspensions of the machine since the process started.
 struct Suspensions {
   SuspensionWatch watch;
   std::uint64_t count = 0;
@@ -50,7 +51,7 @@
   return all;
 }
 
-void note_suspension() {
+void record_suspension() {
   Suspensions& all = suspensions();
   const auto suspended =
       all.watch.observe({read_clock(CLOCK_BOOTTIME), read_clock(CLOCK_MONOTONIC)});
@@ -68,12 +69,12 @@
   return watch;
 }
 
-gint poll_and_note(GPollFD* descriptors, guint count, gint timeout) {
+gint poll_and_record(GPollFD* descriptors, guint count, gint timeout) {
   TurnWatch& watch = turn_watch();
   watch.longest = std::max(watch.longest, boot_time_now() - watch.began);
   const gint ready = g_poll(descriptors, count, timeout);
   watch.began = boot_time_now();
-  note_suspension();
+  record_suspension();
   return ready;
 }
 
@@ -133,7 +134,7 @@
 
 void EventLoop::run() {
   turn_watch().began = boot_time_now();
-  g_main_context_set_poll_func(nullptr, poll_and_note);
+  g_main_context_set_poll_func(nullptr, poll_and_record);
   g_main_loop_run(loop_);
   g_main_context_set_poll_func(nullptr, nullptr);
 }
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -13,20 +13,20 @@
 
 namespace planktray::transport {
 
-/// CLOCK_BOOTTIME: runs on while the process or the machine is stopped.
+/// Reads CLOCK_BOOTTIME, which continues while the process is stopped or the machine is suspended.
 common::TimePoint boot_time_now();
 
-/// Processor time that this thread has used so far (CLOCK_THREAD_CPUTIME_ID).
+/// Returns the processor time that this thread has used so far (CLOCK_THREAD_CPUTIME_ID).
 common::Duration thread_time_used();
-/// Processor time that all threads of this process have used so far.
+/// Returns the processor time that all threads of this process have used so far.
 common::Duration process_time_used();
 
-/// How often the machine was suspended while the main loop of this process ran; each time has a
-/// log line.
+/// Returns how often the machine was suspended while the main loop of this process ran. Each
+/// suspension is logged.
 std::uint64_t suspensions_seen();
 
-/// Ends the process at once. The data folder is safe at every moment, and the libraries' static
-/// destructors join threads of their own, which may hold a stopping process up for seconds.
+/// Ends the process at once, without running static destructors: those of the libraries join their
+/// threads, which may delay the exit for seconds. The data folder is consistent at any time.
 [[noreturn]] void end_process(int exit_code);
 
 class EventLoop {
@@ -49,7 +49,8 @@
 
   void run();
   void quit();
-  /// The longest time from one wait for events to the next since the last call, while running.
+  /// Returns the longest loop iteration (time between two waits for events) since the last call and
+  /// resets it.
   common::Duration take_longest_turn();
 
  private:
@@ -58,8 +59,8 @@
   std::vector<guint> sources_;
 };
 
-/// One call at a time that can be put off or brought forward, so that a process wakes only when
-/// there is something to do.
+/// A single-shot timer that can be moved to an earlier or later time, so that the process wakes
+/// only when there is work to do.
 class Alarm {
  public:
   explicit Alarm(std::function<void()> callback) : callback_(std::move(callback)) {}
@@ -67,10 +68,10 @@
   Alarm& operator=(const Alarm&) = delete;
   ~Alarm() { cancel(); }
 
-  /// The longest that a call came after its time since the last question: how long this process
-  /// waited for a processor, or for its own turns.
+  /// Returns the longest delay of a call after its due time since the last call of this function,
+  /// and resets it: how long the process waited for a processor or for other callbacks of its loop.
   common::Duration take_latest_call() { return std::exchange(latest_call_, common::Duration(0)); }
-  /// Calls back once at `when`, in place of an earlier time.
+  /// Schedules one call at `when`; replaces a time that was set before.
   void set(common::TimePoint when);
   void cancel();
 
--- a/src/transport/suspension_watch.hpp
+++ b/src/transport/suspension_watch.hpp
@@ -1,8 +1,8 @@
 #pragma once
-/// Tells a machine that was suspended from one that was merely slow: the steady clock does not
-/// count the time of a suspension, the boot clock does.
+/// Distinguishes a suspension of the machine from a slow process: the boot clock includes the time
+/// of a suspension, the steady clock does not.
 ///
-/// A plain state machine: readings of both clocks in.
+/// A state machine without side effects; its input is readings of both clocks.
 
 #include <optional>
 
@@ -18,11 +18,10 @@
 
 class SuspensionWatch {
  public:
-  /// Less than this is what passes between the two readings.
+  /// Smaller differences may come from the time between reading the two clocks.
   static constexpr common::Duration kShortest = std::chrono::milliseconds(50);
 
-  /// @return for how long the machine was suspended since the reading before; nothing where it was
-  ///   not.
+  /// @return how long the machine was suspended since the previous reading; nothing if it was not.
   std::optional<common::Duration> observe(const ClockReading& reading) {
     const common::Duration ahead = reading.boot - reading.steady;
     const common::Duration before = ahead_.value_or(ahead);
@@ -31,7 +30,7 @@
   }
 
  private:
-  std::optional<common::Duration> ahead_;  ///< of the boot clock before the steady one
+  std::optional<common::Duration> ahead_;  ///< how far the boot clock is ahead of the steady clock
 };
 
 }  // namespace planktray::transport
--- a/src/transport/turn_budget.hpp
+++ b/src/transport/turn_budget.hpp
@@ -1,16 +1,16 @@
 #pragma once
-/// Fair shares of the main loop. A source that has more to do than fits its share goes on in the
-/// next turn, after all others have had theirs.
+/// Fair shares of the main loop. A source with more work than fits its share continues in the next
+/// loop iteration (turn), after all other sources have been served.
 
 #include "transport/event_loop.hpp"
 
 namespace planktray::transport {
 
-/// Time that one source may take in a turn. Counted in time and not in events, since an event may
-/// cost microseconds or milliseconds: with 256 messages and 16 connections a turn, a full leader
-/// served 60 connections a second.
+/// Time that one source may take in a turn. The limit is a time and not a number of events, since
+/// an event may take microseconds or milliseconds: with limits of 256 messages and 16 connections
+/// per turn, a fully loaded leader served only 60 connections per second.
 constexpr common::Duration kTurnShare = std::chrono::milliseconds(20);
-/// The longest turn, of two such shares and a sweep.
+/// Upper bound of a turn: two such shares and a sweep.
 constexpr common::Duration kLongestTurn = 3 * kTurnShare;
 
 class TurnBudget {
