--- a/src/transport/file_disk.hpp
+++ b/src/transport/file_disk.hpp
@@ -11,8 +11,8 @@
 
 class FileDisk final : public storage::Disk {
  public:
-  /// Makes the folder where it does not exist and takes its lock, so that no second process uses
-  /// it. @return kIo or kUnavailable.
+  /// Creates the folder if it does not exist and locks it, so that no second process can use it.
+  /// @return kIo or kUnavailable.
   static common::Result<std::unique_ptr<FileDisk>> open(const std::string& folder);
   ~FileDisk() override;
 
@@ -33,7 +33,7 @@
 
   std::string folder_;
   int lock_ = -1;
-  std::string open_name_;  ///< the file that is appended to stays open
+  std::string open_name_;  ///< name of the file kept open for appending
   int open_file_ = -1;
 };
 
--- a/src/transport/settings.hpp
+++ b/src/transport/settings.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// Settings of a process: a TOML file plus flags, all checked, unknown names refused (CLI11).
+/// Settings of a process: a TOML file and command-line flags, parsed and validated by CLI11;
+/// unknown names are rejected.
 
 #include <CLI/CLI.hpp>
 #include <chrono>
@@ -22,7 +23,7 @@
   return parsed.has_value() ? std::string() : value + ": " + parsed.error().message;
 }
 
-/// Adds a setting in milliseconds with its range; the default is the option's present value.
+/// Adds a setting in milliseconds with its range; the default is the current value of `target`.
 inline void add_milliseconds(CLI::App& app, const std::string& name, common::Duration& target,
                              std::int64_t low, std::int64_t high, const std::string& help) {
   const auto initial = std::chrono::duration_cast<std::chrono::milliseconds>(target).count();
@@ -40,8 +41,8 @@
   app.add_flag("--check-settings", check_only, "Check the settings and end");
 }
 
-/// Reads settings anew from the file and flags that a process was started with.
-/// @return kInvalid with the setting that is wrong.
+/// Rereads the settings from the file and the flags that the process was started with.
+/// @return kInvalid with the invalid setting.
 template <typename Settings>
 common::Result<Settings> read_settings(const std::function<void(CLI::App&, Settings&)>& add,
                                        int argc, char** argv) {
@@ -56,13 +57,14 @@
   return settings;
 }
 
-/// The settings file that a parsed command line names, or "".
+/// Returns the settings file given on a parsed command line, or "".
 inline std::string settings_path(const CLI::App& app) {
   const CLI::Option* option = app.get_config_ptr();
   return option == nullptr ? "" : option->as<std::string>();
 }
 
-/// Parses; on failure prints one clear message. @return an exit code, or -1 to go on.
+/// Parses the command line; prints an error message on failure. @return an exit code, or -1 to
+/// continue.
 inline int parse_settings(CLI::App& app, int argc, char** argv, const bool& check_only) {
   try {
     app.parse(argc, argv);
--- a/src/transport/settings_watch.cpp
+++ b/src/transport/settings_watch.cpp
@@ -7,9 +7,9 @@
 namespace planktray::transport {
 namespace {
 
-constexpr common::Duration kLookInterval = std::chrono::milliseconds(2000);
+constexpr common::Duration kCheckInterval = std::chrono::milliseconds(2000);
 
-/// When the file last changed, 0 where it cannot be looked at.
+/// Returns the file's modification time in nanoseconds, or 0 if it cannot be read.
 std::int64_t change_time(const std::string& path) {
   struct stat status {};
   if (path.empty() || ::stat(path.c_str(), &status) != 0) {
@@ -28,11 +28,11 @@
     changed_();
   });
   if (!path_.empty()) {
-    loop.every(kLookInterval, [this] { look(); });
+    loop.every(kCheckInterval, [this] { check_file(); });
   }
 }
 
-void SettingsWatch::look() {
+void SettingsWatch::check_file() {
   const std::int64_t now = change_time(path_);
   if (now != 0 && now != changed_at_) {
     changed_at_ = now;
--- a/src/transport/settings_watch.hpp
+++ b/src/transport/settings_watch.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Notices that a settings file has changed: by SIGHUP, or by its time of change without a signal.
+/// Detects changes of a settings file by SIGHUP or by its modification time.
 
 #include <functional>
 #include <string>
@@ -10,15 +10,15 @@
 
 class SettingsWatch {
  public:
-  /// Calls `changed` after each change. @param path empty: SIGHUP alone counts.
+  /// Calls `changed` after each change. @param path empty: only SIGHUP counts as a change.
   SettingsWatch(EventLoop& loop, std::string path, std::function<void()> changed);
 
  private:
-  void look();
+  void check_file();
 
   std::string path_;
   std::function<void()> changed_;
-  std::int64_t changed_at_ = 0;  ///< time of the last change that was seen, in nanoseconds
+  std::int64_t changed_at_ = 0;  ///< last seen modification time, in nanoseconds
 };
 
 }  // namespace planktray::transport
--- a/src/transport/storage_worker.cpp
+++ b/src/transport/storage_worker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A disk that refuses is asked again after this time.
+/// Time before a rejected write is retried.
 constexpr std::chrono::milliseconds kRetryInterval(200);
 
 }  // namespace
@@ -68,7 +68,7 @@
     if (written.has_value()) {
       return batch.back().sequence;
     }
-    if (store_.is_broken() || rest_or_stop()) {
+    if (store_.is_broken() || wait_or_stop()) {
       return tl::unexpected(written.error());
     }
     if (is_first) {
@@ -77,7 +77,7 @@
   }
 }
 
-bool StorageWorker::rest_or_stop() {
+bool StorageWorker::wait_or_stop() {
   std::unique_lock lock(mutex_);
   return wake_.wait_for(lock, kRetryInterval, [this] { return stopping_; });
 }
--- a/src/transport/storage_worker.hpp
+++ b/src/transport/storage_worker.hpp
@@ -1,7 +1,8 @@
 #pragma once
-/// Writes log records on a thread of its own, so that a slow sync delays no heartbeat. Everything
-/// that waits when a sync ends goes out with the next one (group commit). A disk that refuses to
-/// take more bytes is asked again until it does; meanwhile nothing counts as written.
+/// Writes log records on a separate thread, so that a slow sync does not delay heartbeats. All
+/// requests that wait when a sync ends are written with the next one (group commit). A write that
+/// the disk rejects, for example because it is full, is retried until it succeeds; until then,
+/// nothing of the batch is reported as persisted.
 
 #include <condition_variable>
 #include <cstdint>
@@ -18,27 +19,27 @@
 
 class StorageWorker {
  public:
-  /// Called on the main loop's thread with the highest sequence that lasts, or the failure after
-  /// which what the folder holds is not known.
+  /// Called on the main loop's thread with the highest durable sequence, or with the error after
+  /// which the content of the folder is unknown.
   using Callback = std::function<void(common::Result<std::uint64_t> persisted)>;
-  /// Called on the main loop's thread when the disk begins to refuse.
+  /// Called on the main loop's thread at the first rejected write of a batch.
   using RefusalCallback = std::function<void(const common::Error& error)>;
 
-  /// @param store is used by this worker alone from now on and must outlive it.
+  /// @param store used only by this worker from now on; must outlive it.
   StorageWorker(storage::LogStore& store, Callback callback, RefusalCallback on_refusal);
   StorageWorker(const StorageWorker&) = delete;
   StorageWorker& operator=(const StorageWorker&) = delete;
   ~StorageWorker();
 
   void submit(std::vector<consensus::PersistRequest> requests);
-  /// The longest time that the disk took for a batch since the last call.
+  /// Returns the longest time to persist a batch since the last call and resets it.
   common::Duration take_longest_persist();
 
  private:
   void work();
-  /// Persists a batch, again and again while the disk refuses it.
+  /// Persists a batch; retries while the disk rejects it.
   common::Result<std::uint64_t> persist(const std::vector<consensus::PersistRequest>& batch);
-  bool rest_or_stop();
+  bool wait_or_stop();
 
   storage::LogStore& store_;
   Callback callback_;
