--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -17,11 +17,11 @@
 
 constexpr guint kSweepSeconds = 1;
 constexpr unsigned kFirstFinalStatus = 200;
-/// A connection is used again only in this part of the time that the server keeps it: a request
-/// that crosses the server's close is a request whose end is not known.
+/// A connection is reused only within this fraction of the server's keep-alive time: if the server
+/// closes the connection while a request is on its way, the outcome of that request is unknown.
 constexpr double kUsableShareOfIdle = 0.75;
 
-/// The time in `Keep-Alive: timeout=N`, or nothing.
+/// Returns the time in `Keep-Alive: timeout=N`, or nothing.
 std::optional<Duration> announced_idle(const HeaderList& headers) {
   constexpr std::string_view kName = "timeout=";
   const std::string_view value = find_header(headers, "Keep-Alive");
@@ -49,7 +49,7 @@
 
 // ---------------------------------------------------------------- one connection
 
-/// One connection to a server: carries one call at a time and rests in between.
+/// One connection to a server: carries one call at a time and is idle in between.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   ClientConnection(HttpClient& client, std::string address, std::shared_ptr<TcpStream> stream)
@@ -58,7 +58,7 @@
         stream_(std::move(stream)),
         reader_(HttpRole::kResponse, client.options_.limits),
         idle_(client.options_.idle_timeout),
-        since_(boot_time_now()) {}
+        last_used_(boot_time_now()) {}
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
   ~ClientConnection() {
@@ -79,8 +79,8 @@
     stream_->start(std::move(handlers));
   }
 
-  /// Begins a call; the connection is new or rests.
-  void carry(std::uint64_t call, const HttpRequest& request) {
+  /// Starts a call; the connection must be new or idle.
+  void start_call(std::uint64_t call, const HttpRequest& request) {
     call_ = call;
     has_begun_ = false;
     is_written_ = false;
@@ -108,27 +108,27 @@
     unsettled_ = std::move(bytes);
   }
 
-  /// True where some of the present call's bytes may have reached the server.
+  /// True if some bytes of the current call may have reached the server.
   bool was_sent() const { return used_before_ || stream_->has_sent(); }
   bool is_usable(TimePoint now) const {
     return stream_->is_open() &&
-           now - since_ < std::chrono::duration_cast<Duration>(idle_ * kUsableShareOfIdle);
+           now - last_used_ < std::chrono::duration_cast<Duration>(idle_ * kUsableShareOfIdle);
   }
 
   void hold(bool held) { stream_->hold_writing(held); }
-  TimePoint since() const { return since_; }
+  TimePoint last_used() const { return last_used_; }
   void close() {
     const auto keep = shared_from_this();
     const bool abandons_call = std::exchange(call_, 0) != 0;
     stop_timer(connect_timer_);
     stop_timer(settle_timer_);
     if (abandons_call) {
-      stream_->abort();  // what was sent of it should not arrive later
+      stream_->abort();  // bytes of the call in transit should not arrive later
     } else {
       stream_->close();
     }
-    if (!std::exchange(forgotten_, true)) {
-      client_.forget(address_, this);
+    if (!std::exchange(removed_, true)) {
+      client_.remove_connection(address_, this);
     }
   }
 
@@ -156,7 +156,7 @@
 
   void on_connected() {
     stop_timer(connect_timer_);
-    client_.note(call_, SendStage::kConnected);
+    client_.report_stage(call_, SendStage::kConnected);
     if (!unsettled_.empty()) {
       const auto wait = std::chrono::ceil<std::chrono::milliseconds>(settle_time_).count();
       settle_timer_ = g_timeout_add(static_cast<guint>(wait), on_settled, this);
@@ -165,21 +165,22 @@
 
   void on_sent() {
     if (!std::exchange(has_begun_, true)) {
-      client_.note(call_, SendStage::kBegun);
+      client_.report_stage(call_, SendStage::kBegun);
     }
   }
 
   void on_drained() {
-    // An open connection drains before its request is handed to it, where that waits.
+    // While a request waits for its connection to settle, the stream reports that it is drained
+    // before the request is written.
     if (has_begun_ && !std::exchange(is_written_, true)) {
-      client_.note(call_, SendStage::kWritten);
+      client_.report_stage(call_, SendStage::kWritten);
     }
   }
 
   void on_data(std::string_view bytes) {
     const auto keep = shared_from_this();
     if (call_ == 0) {
-      close();  // bytes that belong to no request
+      close();  // unsolicited bytes
       return;
     }
     while (!bytes.empty() && call_ != 0) {
@@ -196,14 +197,14 @@
     }
   }
 
-  /// @param is_last no byte has come behind this message.
+  /// @param is_last no bytes have arrived after this message.
   void take_message(bool is_last) {
     HttpMessage message = reader_.take();
     if (expects_no_body_) {
       reader_.expect_no_body();
     }
     if (message.status < kFirstFinalStatus) {
-      return;  // an interim response
+      return;  // an interim (1xx) response
     }
     const bool is_own =
         answer_header_.empty() || find_header(message.headers, answer_header_) == answer_value_;
@@ -251,9 +252,9 @@
     response.was_sent = was_sent();
     response.used_before = used_before_;
     const std::uint64_t call = std::exchange(call_, 0);
-    since_ = boot_time_now();
+    last_used_ = boot_time_now();
     if (reusable) {
-      client_.rest(address_, shared_from_this());
+      client_.add_idle(address_, shared_from_this());
     } else {
       close();
     }
@@ -265,18 +266,18 @@
   std::shared_ptr<TcpStream> stream_;
   HttpReader reader_;
   Duration idle_;
-  TimePoint since_;         ///< when it was opened, or last carried a call
-  std::uint64_t call_ = 0;  ///< 0: rests
+  TimePoint last_used_;     ///< when it was opened or completed its last call
+  std::uint64_t call_ = 0;  ///< 0: idle
   std::uint64_t calls_carried_ = 0;
   std::string answer_header_;
   std::string answer_value_;
-  bool has_begun_ = false;   ///< the system has taken a byte of the present call
-  bool is_written_ = false;  ///< the system has taken all of it
+  bool has_begun_ = false;   ///< the kernel has accepted a byte of the current call
+  bool is_written_ = false;  ///< the kernel has accepted all of its bytes
   bool used_before_ = false;
   bool fresh_only_ = false;
   bool expects_no_body_ = false;
   bool has_surplus_ = false;
-  bool forgotten_ = false;
+  bool removed_ = false;
   guint connect_timer_ = 0;
   guint settle_timer_ = 0;
   Duration settle_time_{0};
@@ -344,7 +345,7 @@
     call.connection->start();
   }
   sending_ = id;
-  call.connection->carry(id, call.request);
+  call.connection->start_call(id, call.request);
   sending_ = 0;
   return id;
 }
@@ -358,9 +359,9 @@
   while (!found->second.idle.empty()) {
     auto connection = std::move(found->second.idle.back());
     found->second.idle.pop_back();
-    const bool is_rested =
-        request.longest_rest.count() > 0 && now - connection->since() > request.longest_rest;
-    if (connection->is_usable(now) && !is_rested) {
+    const bool is_idle_too_long =
+        request.longest_rest.count() > 0 && now - connection->last_used() > request.longest_rest;
+    if (connection->is_usable(now) && !is_idle_too_long) {
       return connection;
     }
     connection->close();
@@ -399,7 +400,7 @@
   call.callback(response);
 }
 
-void HttpClient::note(std::uint64_t id, SendStage stage) {
+void HttpClient::report_stage(std::uint64_t id, SendStage stage) {
   const auto found = calls_.find(id);
   if (found != calls_.end() && found->second.progress) {
     found->second.progress(stage);
@@ -449,12 +450,12 @@
   finish(id, std::move(response));
 }
 
-void HttpClient::rest(const std::string& address,
-                      const std::shared_ptr<ClientConnection>& connection) {
+void HttpClient::add_idle(const std::string& address,
+                          const std::shared_ptr<ClientConnection>& connection) {
   servers_[address].idle.push_back(connection);
 }
 
-void HttpClient::forget(const std::string& address, const ClientConnection* connection) {
+void HttpClient::remove_connection(const std::string& address, const ClientConnection* connection) {
   const auto found = servers_.find(address);
   if (found == servers_.end()) {
     return;
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -1,12 +1,12 @@
 #pragma once
-/// HTTP/1.1 client on GIO sockets and the http-parser library, with what retries need to know:
-/// whether anything was written.
+/// HTTP/1.1 client on GIO sockets and the http-parser library. Reports whether any byte of a failed
+/// request was written, which decides whether a retry is safe.
 ///
 /// Invariants:
-///  - A request is written once, on one connection. Nothing is resent here.
-///  - A response is handed out only when it is whole and, where the request says how to know its
-///    own answer, carries that mark; answers to other requests are read past.
-///  - A connection is used again only if nothing but the whole answer came on it.
+///  - A request is written once, on one connection. The client itself never resends a request.
+///  - A response is delivered only when it is complete and, if the request sets `answer_header`,
+///    carries the expected value; other responses are discarded.
+///  - A connection is reused only if nothing but the complete response arrived on it.
 
 #include <cstdint>
 #include <functional>
@@ -24,44 +24,47 @@
 
 namespace planktray::transport {
 
-/// "http://IP:port/path" as the "IP:port" and the "/path" of a request.
+/// Splits "http://IP:port/path" into "IP:port" and "/path".
 std::pair<std::string, std::string> split_url(const std::string& url);
 
 struct HttpRequest {
   std::string address;  ///< "IP:port"
   std::string method = "GET";
-  std::string target = "/";  ///< path and query, sent as they are
-  HeaderList headers;        ///< Host is added where it is missing
+  std::string target = "/";  ///< path and query, sent unchanged
+  HeaderList headers;        ///< Host is added if it is missing
   std::string body;
-  common::Duration timeout{0};  ///< 0: until cancelled
-  /// Opens a connection for this request alone, and closes it afterwards.
+  common::Duration timeout{0};  ///< 0: no timeout
+  /// Opens a connection for this request only and closes it afterwards.
   bool fresh_connection = false;
-  /// A new connection has to stay open for this long before the request is written on it. A server
-  /// that takes no more connections resets a new one at once: that is then known to be before the
-  /// request, which has not been sent. 0: written as soon as the connection is up.
+  /// How long a new connection has to stay open before the request is written on it. A server that
+  /// accepts no more connections resets a new one at once; with this delay the reset comes before
+  /// the request is sent, so a retry is safe. 0: the request is written as soon as the connection
+  /// is established.
   common::Duration settle_time{0};
-  /// A connection that has rested for longer is not used for this request; 0: any that is usable.
+  /// A connection that has been idle for longer is not used for this request; 0: any usable
+  /// connection.
   common::Duration longest_rest{0};
-  /// The answer carries this header with this value; answers with another one are not to this
-  /// request. Empty: the next answer is the one.
+  /// Name of the header by which the response to this request is recognized, with its value below;
+  /// responses with another value belong to other requests. Empty: the next response is accepted.
   std::string answer_header;
   std::string answer_value;
 };
 
-/// How far the bytes of a request have come.
+/// How much of a request has been handed to the kernel.
 enum class SendStage : std::uint8_t {
-  kConnected,  ///< its new connection is up; not told for one that was used before
-  kBegun,      ///< the system has taken the first of them
-  kWritten,    ///< the system has taken all of them
+  kConnected,  ///< its new connection is established; not reported for a reused connection
+  kBegun,      ///< the kernel has accepted the first bytes
+  kWritten,    ///< the kernel has accepted all bytes
 };
 
-/// How a request ended. Either `status` is set, or `error` tells why not.
+/// Outcome of a request. Either `status` is set, or `error` holds the reason why there is no
+/// response.
 struct HttpResponse {
   unsigned status = 0;
   HeaderList headers;
   std::string body;
   bool was_sent = false;     ///< some of the request may have reached the server
-  bool used_before = false;  ///< the connection had carried an earlier request
+  bool used_before = false;  ///< the connection had carried an earlier request (it was reused)
   common::Error error;
 
   bool is_whole() const { return status != 0; }
@@ -71,16 +74,16 @@
 };
 
 struct HttpClientOptions {
-  /// Connections open to one server at once; a request beyond them fails as not sent.
+  /// Maximum number of open connections to one server; a request beyond it fails as not sent.
   std::size_t connections_per_server = 64;
-  /// A connection that is not up by then has failed; nothing was sent.
+  /// A connection that is not established within this time has failed; nothing was sent.
   common::Duration connect_timeout = std::chrono::seconds(5);
-  /// A connection rests for this long at most, less where the server says so (Keep-Alive).
+  /// Maximum idle time of a connection; shorter if the server requests it (Keep-Alive header).
   common::Duration idle_timeout = std::chrono::seconds(30);
-  /// Ends a connection whose sent bytes stay without an acknowledgement; 0: the system's time.
+  /// Ends a connection whose sent bytes stay unacknowledged for this long; 0: the kernel's default.
   common::Duration unacknowledged_timeout{0};
   HttpLimits limits{64 * 1024, 64 * 1024 * 1024};
-  /// Large bodies pass at its pace; outlives the client; none: no pace.
+  /// Limits the rate of large bodies; must outlive the client; null: no limit.
   LinkPacer* pacer = nullptr;
 };
 
@@ -89,7 +92,8 @@
 class HttpClient {
  public:
   using Callback = std::function<void(HttpResponse& response)>;
-  /// Told of each stage once, also within send(); not after the request has ended. Must not end it.
+  /// Called once for each stage, possibly within send(), never after the request has ended. Must
+  /// not cancel the request.
   using Progress = std::function<void(SendStage stage)>;
 
   explicit HttpClient(HttpClientOptions options);
@@ -97,12 +101,12 @@
   HttpClient& operator=(const HttpClient&) = delete;
   ~HttpClient();
 
-  /// Sends; the callback comes exactly once and never within this call, unless cancel() was called
-  /// for the returned id.
+  /// Sends a request. The callback is called exactly once and never within this call, or not at all
+  /// if cancel() is called with the returned id.
   std::uint64_t send(HttpRequest request, Callback callback, Progress progress = nullptr);
-  /// Closes the connection of a request whose answer is no longer wanted.
+  /// Cancels a request and closes its connection.
   void cancel(std::uint64_t id);
-  /// While held, nothing more of the request is handed to the system.
+  /// While held, no further bytes of the request are handed to the kernel.
   void hold(std::uint64_t id, bool held);
   std::size_t in_flight() const { return calls_.size(); }
   std::size_t connections() const;
@@ -118,7 +122,7 @@
     guint timer = 0;
   };
   struct Server {
-    std::vector<std::shared_ptr<ClientConnection>> idle;  ///< the last used at the back
+    std::vector<std::shared_ptr<ClientConnection>> idle;  ///< most recently used at the back
     std::size_t open = 0;
   };
   struct Timer {
@@ -133,16 +137,16 @@
   std::shared_ptr<ClientConnection> take_idle(const HttpRequest& request);
   void fail_later(std::uint64_t id, common::Error error);
   void finish(std::uint64_t id, HttpResponse response);
-  void note(std::uint64_t id, SendStage stage);
-  void rest(const std::string& address, const std::shared_ptr<ClientConnection>& connection);
-  void forget(const std::string& address, const ClientConnection* connection);
+  void report_stage(std::uint64_t id, SendStage stage);
+  void add_idle(const std::string& address, const std::shared_ptr<ClientConnection>& connection);
+  void remove_connection(const std::string& address, const ClientConnection* connection);
 
   HttpClientOptions options_;
   std::map<std::uint64_t, Call> calls_;
   std::map<std::string, Server> servers_;
   std::uint64_t next_id_ = 1;
   std::uint64_t opened_ = 0;
-  std::uint64_t sending_ = 0;  ///< the call that send() is about, while it runs
+  std::uint64_t sending_ = 0;  ///< the call that send() is starting, while it runs; 0: none
   guint sweep_source_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
