--- a/src/transport/http_message.cpp
+++ b/src/transport/http_message.cpp
@@ -23,8 +23,8 @@
   return status >= kFirstFinalStatus && status != kStatusNoContent && status != kStatusNotModified;
 }
 
-/// Whether the sender may leave out a body's length: only requests without a body.
-bool states_length(std::string_view method, std::string_view body) {
+/// Whether Content-Length must be sent: for any request that has or usually has a body.
+bool needs_content_length(std::string_view method, std::string_view body) {
   return !body.empty() || method == "POST" || method == "PUT" || method == "PATCH";
 }
 
@@ -142,7 +142,7 @@
 int HttpReader::on_header_field(http_parser* parser, const char* at, std::size_t length) {
   HttpReader& reader = reader_of(parser);
   if (reader.has_head_) {
-    return reader.count_header(length) ? kContinueParsing : kStopParsing;  // trailers are dropped
+    return reader.count_header(length) ? kContinueParsing : kStopParsing;  // trailers are ignored
   }
   if (reader.in_value_ || reader.message_.headers.empty()) {
     reader.message_.headers.emplace_back();
@@ -204,7 +204,7 @@
   out.reserve(256 + body.size());
   out.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
   append_headers(out, headers);
-  if (states_length(method, body)) {
+  if (needs_content_length(method, body)) {
     out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
   }
   out.append("\r\n").append(body);
--- a/src/transport/http_message.hpp
+++ b/src/transport/http_message.hpp
@@ -1,10 +1,10 @@
 #pragma once
-/// HTTP/1.1 messages and an incremental reader of them, on the http-parser library.
+/// HTTP/1.1 messages and an incremental reader for them, on the http-parser library.
 ///
 /// Invariants:
-///  - A message is handed out only when it is whole: its stated length, its last chunk, or, for a
-///    response without either, an orderly close of the connection.
-///  - Method, target, header values and body are the bytes that came; nothing is normalised.
+///  - A message is delivered only when it is complete: by its Content-Length, its last chunk or,
+///    for a response without either, an orderly close of the connection.
+///  - Method, target, header values and body are the received bytes; nothing is normalized.
 
 #include <http_parser.h>
 
@@ -19,22 +19,22 @@
 
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/// @return the first value of a header, or "". Names are compared without case.
+/// @return the first value of a header, or "". Names are compared case-insensitively.
 std::string_view find_header(const HeaderList& headers, std::string_view name);
 bool equals_ignoring_case(std::string_view left, std::string_view right);
 
-/// A whole request or response. `method` and `target` belong to requests, `status` to responses.
+/// A complete request or response. `method` and `target` belong to requests, `status` to responses.
 struct HttpMessage {
   std::string method;
-  std::string target;  ///< path and query as they came
+  std::string target;  ///< path and query as received
   unsigned status = 0;
   HeaderList headers;
   std::string body;
-  /// True where the connection may carry another message after this one.
+  /// True if the connection may carry another message after this one.
   bool keep_alive = false;
 };
 
-/// What a peer may send, in bytes.
+/// Maximum sizes of a received message, in bytes.
 struct HttpLimits {
   std::size_t header_bytes = 16 * 1024;
   std::size_t body_bytes = 8 * 1024 * 1024;
@@ -44,41 +44,44 @@
 
 enum class ReadFailure : std::uint8_t {
   kNone,
-  kMalformed,       ///< the bytes are no message of the protocol
-  kHeaderTooLarge,  ///< more header bytes than the limit
-  kBodyTooLarge,    ///< more body bytes than the limit, stated or sent
+  kMalformed,       ///< the bytes are not a valid HTTP message
+  kHeaderTooLarge,  ///< the header exceeds the limit
+  kBodyTooLarge,    ///< the body exceeds the limit, by its Content-Length or by the bytes received
   kCutShort,        ///< the connection ended within a message
 };
 
-/// Reads one message after the other from the bytes of one connection.
+/// Reads consecutive messages from the bytes of one connection.
 class HttpReader {
  public:
   HttpReader(HttpRole role, HttpLimits limits);
   HttpReader(const HttpReader&) = delete;
   HttpReader& operator=(const HttpReader&) = delete;
 
-  /// Takes bytes up to the end of the present message.
-  /// @return how many were taken; fewer than given only where the message is whole or has failed.
+  /// Consumes bytes up to the end of the current message.
+  /// @return the number of bytes consumed; fewer than given only if the message is complete or
+  ///   invalid.
   std::size_t feed(std::string_view bytes);
-  /// The peer closed its sending side in an orderly way.
+  /// Reports that the peer closed its sending side in an orderly way.
   void finish();
-  /// The response belongs to a HEAD request: it has no body whatever its headers say.
+  /// Marks the current response as the response to a HEAD request: it has no body regardless of its
+  /// headers.
   void expect_no_body() { skip_body_ = true; }
   void set_limits(HttpLimits limits) { limits_ = limits; }
 
   bool is_whole() const { return whole_; }
   bool has_failed() const { return failure_ != ReadFailure::kNone; }
   ReadFailure failure() const { return failure_; }
-  /// True once a byte of the present message has come.
+  /// True once a byte of the current message has been received.
   bool has_begun() const { return begun_; }
   bool has_head() const { return has_head_; }
-  /// Body bytes that are still to come, as the head states them; 0 where it states no length.
+  /// Returns the number of body bytes still to be received according to Content-Length; 0 if there
+  /// is none.
   std::size_t body_left() const;
-  /// The message as far as it has come.
+  /// Returns the part of the message that has been received.
   const HttpMessage& message() const { return message_; }
-  /// Hands out the whole message and gets ready for the next.
+  /// Returns the complete message and resets the reader for the next one.
   HttpMessage take();
-  /// Gives up the present message, whole or not, and gets ready for the next.
+  /// Discards the current message, complete or not, and resets the reader for the next one.
   void discard() { static_cast<void>(take()); }
 
  private:
@@ -107,11 +110,12 @@
   bool in_value_ = false;
 };
 
-/// One request with its length stated, ready to be written. Content-Length is set here.
+/// Serializes a request. Content-Length is added here if the request needs one.
 std::string serialize_request(std::string_view method, std::string_view target,
                               const HeaderList& headers, std::string_view body);
-/// One response with its length stated. Statuses that allow no body get none.
-/// @param omit_body for the answer to a HEAD request: the length is stated, the bytes are not sent.
+/// Serializes a response. Content-Length is set here; statuses that allow no body get none.
+/// @param omit_body for the response to a HEAD request: Content-Length is set, but the body is
+///   omitted.
 std::string serialize_response(unsigned status, const HeaderList& headers, std::string_view body,
                                bool omit_body);
 
--- a/src/transport/json_messages.cpp
+++ b/src/transport/json_messages.cpp
@@ -8,8 +8,8 @@
 namespace planktray::transport {
 namespace {
 
-/// Error number of our own within the JSON library's exceptions.
-constexpr int kNoSuchRange = 900;
+/// Error id, outside the JSON library's own ids, for exceptions thrown here.
+constexpr int kInvalidRangeId = 900;
 
 using nlohmann::json;
 using ownership::BackendState;
@@ -94,7 +94,7 @@
   return shards;
 }
 
-/// @throws json::exception for a range that no service can have.
+/// @throws json::exception for a shard range that is not valid for any service.
 ownership::Grant read_grant(const json& item) {
   ownership::Grant grant;
   grant.service = read_service(item);
@@ -102,7 +102,7 @@
   grant.last.value = item.at("last_shard").get<std::uint32_t>();
   grant.epoch.value = item.at("epoch").get<std::uint64_t>();
   if (grant.last < grant.first || grant.last.value >= config::kMaxShardsPerService) {
-    throw json::out_of_range::create(kNoSuchRange, "grants: no such range of shards", &item);
+    throw json::out_of_range::create(kInvalidRangeId, "grants: no such range of shards", &item);
   }
   return grant;
 }
--- a/src/transport/json_messages.hpp
+++ b/src/transport/json_messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// JSON forms of what is spoken with back ends and the platform (docs/PROTOCOLS.md).
-/// Unknown fields are ignored, missing ones are an error.
+/// JSON encoding of the messages exchanged with back ends and the platform (docs/PROTOCOLS.md).
+/// Unknown fields are ignored; missing fields are an error.
 
 #include <string>
 #include <string_view>
@@ -14,7 +14,7 @@
 std::string to_json(const ownership::LeaseRequest& request);
 common::Result<ownership::LeaseRequest> parse_lease_request(std::string_view body,
                                                             const std::string& peer);
-/// Body of a lease answer; the status travels as HTTP status and "reason".
+/// Body of a lease reply; its status is encoded as HTTP status and "reason".
 std::string to_json(const ownership::LeaseReply& reply);
 common::Result<ownership::LeaseReply> parse_lease_reply(unsigned status, std::string_view body,
                                                         const std::string& peer);
