--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -22,9 +22,9 @@
 constexpr unsigned kStatusUnavailable = 503;
 constexpr unsigned kStatusGatewayTimeout = 504;
 constexpr int kBacklog = 512;
-/// Connections taken before other sources of the main loop get their turn.
+/// Connections accepted before other sources of the main loop are served.
 constexpr int kAcceptBatch = 16;
-/// Idle and slow connections are looked for this often.
+/// Interval of the check for idle and slow connections.
 constexpr guint kSweepSeconds = 1;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -68,8 +68,8 @@
 
 // ---------------------------------------------------------------- one connection
 
-/// One client's connection: reads requests, hands them out as their kinds allow, and writes their
-/// answers in order.
+/// One client's connection: reads requests, passes them to the handler (concurrently if the
+/// classifier allows it) and writes their responses in order.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   ServerConnection(HttpServer& server, std::uint64_t id, std::shared_ptr<TcpStream> stream)
@@ -77,7 +77,7 @@
         id_(id),
         stream_(std::move(stream)),
         reader_(HttpRole::kRequest, server.options().limits),
-        since_(boot_time_now()) {}
+        last_activity_(boot_time_now()) {}
 
   void start() {
     TcpStream::Handlers handlers;
@@ -96,59 +96,60 @@
     if (place == 0) {
       write_front(status, headers, body, is_head);
     } else if (place < pipeline_.size()) {
-      hold(pipeline_[place], {status, headers, std::string(body), is_head});
+      hold_answer(pipeline_[place], {status, headers, std::string(body), is_head});
     }
     advance();
   }
 
-  /// Ends the connection from this side; requests that wait are told that their client has left.
-  void shut() {
+  /// Closes the connection from the server's side; the handlers of pending requests are notified
+  /// that the client has disconnected.
+  void shut_down() {
     const auto keep = shared_from_this();
     stream_->close();
     on_end();
   }
 
-  /// Requests whose answer is not written to its last byte. One that has come and was not read yet
-  /// is work, too: closing over it would reset it.
+  /// Returns the number of requests whose response is not completely written. A request that has
+  /// arrived and is not read yet counts too: closing the connection would reset it.
   std::size_t unfinished() const {
     const bool has_more = reader_.has_begun() || !waiting_.empty() || stream_->has_unread();
     return pipeline_.size() + (writing_ ? 1 : 0) + (has_more ? 1 : 0);
   }
   void close_if_idle() {
     if (unfinished() == 0) {
-      shut();
+      shut_down();
     }
   }
   void sweep(common::TimePoint now) {
     const HttpServerOptions& options = server_.options();
-    const bool is_held = stream_->is_read_paused() || owes_continue_;
+    const bool is_held = stream_->is_read_paused() || continue_pending_;
     if (is_held || (!has_last_request_ && !may_read())) {
-      return;  // what is missing may have come, or is held back by this side
+      return;  // the missing bytes may have arrived or are delayed by the server itself
     }
-    if (reader_.has_begun() && now - since_ > options.request_timeout) {
+    if (reader_.has_begun() && now - last_activity_ > options.request_timeout) {
       const auto keep = shared_from_this();
       refuse(kStatusTimeout, "the request did not come whole in time");
       advance();
     } else if (!reader_.has_begun() && pipeline_.empty() && !writing_ &&
-               now - since_ > options.idle_timeout) {
-      shut();
+               now - last_activity_ > options.idle_timeout) {
+      shut_down();
     }
   }
 
  private:
-  /// An answer that waits for those before it.
+  /// A response that waits for those before it.
   struct HeldAnswer {
     unsigned status = 0;
     HeaderList headers;
     std::string body;
     bool is_head = false;
   };
-  /// A request that has come whole and whose answer was not written.
+  /// A complete request whose response has not been written.
   struct PipelinedRequest {
     std::uint64_t number = 0;
     common::TimePoint first_byte{};
     bool runs_beside_others = false;
-    bool closes = false;  ///< its answer is the connection's last
+    bool closes = false;  ///< its response is the last of the connection
     std::optional<HttpMessage> unstarted{};
     std::weak_ptr<HttpExchange> exchange{};
     std::optional<HeldAnswer> answer{};
@@ -157,7 +158,7 @@
   void on_data(std::string_view bytes) {
     const auto keep = shared_from_this();
     if (has_last_request_) {
-      return;  // bytes behind the connection's last request count as not read
+      return;  // bytes after the connection's last request are discarded
     }
     const std::size_t taken = waiting_.empty() && may_read() ? read(bytes, boot_time_now()) : 0;
     if (waiting_.empty()) {
@@ -167,7 +168,8 @@
     advance();
   }
 
-  /// Does whatever can be done now. Handlers that answer at once come back here.
+  /// Writes responses, starts requests and reads until nothing more can be done. Handlers that
+  /// respond synchronously call this function recursively.
   void advance() {
     if (advancing_) {
       return;
@@ -180,8 +182,8 @@
     hold_or_read();
   }
 
-  /// Everything is read in its turn: nothing behind a request that runs alone, and no more than the
-  /// bounds allow.
+  /// Returns whether the next request may be read: not while an earlier request must run alone, and
+  /// not above the limits.
   bool may_read() const {
     if (has_last_request_ || writing_ || held_bytes_ > server_.options().held_answer_bytes) {
       return false;
@@ -198,7 +200,7 @@
     if (!stream_->is_open()) {
       return;
     }
-    // Not before something waits: most connections send nothing while a request is under way.
+    // Pauses only if bytes are waiting: most clients send nothing while a request is in flight.
     const bool pause = !waiting_.empty() && !has_last_request_ && !may_read();
     if (pause == is_paused_) {
       return;
@@ -213,7 +215,7 @@
 
   // -------------------------------------------------------------- requests
 
-  /// @return false where nothing could be read.
+  /// @return false if nothing could be read.
   bool read_waiting() {
     if (waiting_.empty() || !may_read()) {
       return false;
@@ -226,16 +228,17 @@
     return taken > 0;
   }
 
-  /// Reads up to the end of the present request. @param came when the bytes came.
-  /// @return the bytes taken.
-  std::size_t read(std::string_view bytes, common::TimePoint came) {
+  /// Reads up to the end of the current request. @param arrived when the bytes arrived.
+  /// @return the number of bytes consumed.
+  std::size_t read(std::string_view bytes, common::TimePoint arrived) {
     if (!reader_.has_begun()) {
-      since_ = boot_time_now();
-      first_byte_ = came;
+      last_activity_ = boot_time_now();
+      first_byte_ = arrived;
       reader_.set_limits(server_.options().limits);
     }
     if (stream_->is_paced()) {
-      since_ = boot_time_now();  // the pace is this side's: the client only has to go on sending
+      // The server limits the rate; the client only has to keep sending.
+      last_activity_ = boot_time_now();
     }
     const bool had_head = reader_.has_head();
     const std::size_t taken = reader_.feed(bytes);
@@ -246,25 +249,25 @@
     } else {
       stream_->expect(reader_.body_left(), HangUp::kEnds);
       if (!had_head && reader_.has_head()) {
-        owes_continue_ =
+        continue_pending_ =
             equals_ignoring_case(find_header(reader_.message().headers, "Expect"), "100-continue");
-        answer_expectation();
+        send_continue();
       }
     }
     return taken;
   }
 
-  /// "100 Continue" takes its turn among the answers.
-  void answer_expectation() {
-    if (owes_continue_ && pipeline_.empty() && !writing_) {
-      owes_continue_ = false;
-      since_ = boot_time_now();  // the client could not send its body before
+  /// Sends "100 Continue" in order with the responses.
+  void send_continue() {
+    if (continue_pending_ && pipeline_.empty() && !writing_) {
+      continue_pending_ = false;
+      last_activity_ = boot_time_now();  // the client waited with its body until now
       stream_->write(kContinue);
     }
   }
 
   void append_request(HttpMessage request) {
-    owes_continue_ = false;
+    continue_pending_ = false;
     PipelinedRequest next;
     next.number = next_number_++;
     next.first_byte = first_byte_;
@@ -275,7 +278,8 @@
     pipeline_.push_back(std::move(next));
   }
 
-  /// Hands out the last request, the only one that can be unstarted. @return false where it waits.
+  /// Passes the last request, the only one that can be unstarted, to the handler. @return false if
+  /// it has to wait.
   bool start_next() {
     if (pipeline_.empty() || !pipeline_.back().unstarted.has_value()) {
       return false;
@@ -293,7 +297,8 @@
     return true;
   }
 
-  /// Answers in its turn a request that no handler gets, and ends the connection with it.
+  /// Queues an error response to a request that is not passed to a handler; the connection ends
+  /// after it.
   void refuse(unsigned status, std::string_view message) {
     ++server_.refused_;
     PipelinedRequest refused;
@@ -302,21 +307,21 @@
     has_last_request_ = true;
     reader_.discard();
     pipeline_.push_back(std::move(refused));
-    hold(pipeline_.back(), {status,
-                            {{"Content-Type", "application/json"}},
-                            error_json(message, "read request"),
-                            false});
+    hold_answer(pipeline_.back(), {status,
+                                   {{"Content-Type", "application/json"}},
+                                   error_json(message, "read request"),
+                                   false});
   }
 
   // -------------------------------------------------------------- answers
 
-  void hold(PipelinedRequest& request, HeldAnswer answer) {
+  void hold_answer(PipelinedRequest& request, HeldAnswer answer) {
     request.exchange.reset();
     held_bytes_ += answer.body.size();
     request.answer = std::move(answer);
   }
 
-  /// @return false where the first request has no answer yet.
+  /// @return false if the first request has no response yet.
   bool write_held() {
     if (pipeline_.empty() || !pipeline_.front().answer.has_value()) {
       return false;
@@ -327,7 +332,7 @@
     return true;
   }
 
-  /// Writes the answer of the first request.
+  /// Writes the response to the first request.
   void write_front(unsigned status, const HeaderList& headers, std::string_view body,
                    bool is_head) {
     const bool is_last = pipeline_.size() == 1 || pipeline_[1].unstarted.has_value();
@@ -336,14 +341,14 @@
     HeaderList all = headers;
     if (close) {
       all.emplace_back("Connection", "close");
-      drop_the_rest();
+      discard_remaining();
     }
     writing_ = true;
     stream_->write(serialize_response(status, all, body, is_head));
   }
 
-  /// Requests behind the connection's last answer count as not read; none of them was started.
-  void drop_the_rest() {
+  /// Discards requests after the connection's last response; none of them was started.
+  void discard_remaining() {
     has_last_request_ = true;
     is_ending_ = true;
     pipeline_.clear();
@@ -359,43 +364,43 @@
     }
     const auto keep = shared_from_this();
     writing_ = false;
-    since_ = boot_time_now();
+    last_activity_ = boot_time_now();
     if (is_ending_) {
-      stream_->finish_writing();  // the client's close follows, or the sweep's
+      stream_->finish_writing();  // then the client or the sweep closes the connection
       return;
     }
-    answer_expectation();
+    send_continue();
     advance();
   }
 
   void on_end() {
     const auto keep = shared_from_this();
-    const auto left = std::exchange(pipeline_, {});
-    for (const PipelinedRequest& request : left) {
+    const auto pending = std::exchange(pipeline_, {});
+    for (const PipelinedRequest& request : pending) {
       if (const auto exchange = request.exchange.lock()) {
-        exchange->client_left();
+        exchange->on_client_closed();
       }
     }
-    server_.forget(id_);
+    server_.remove_connection(id_);
   }
 
   HttpServer& server_;
   std::uint64_t id_;
   std::shared_ptr<TcpStream> stream_;
   HttpReader reader_;
-  std::deque<PipelinedRequest> pipeline_;  ///< in the order in which they came
+  std::deque<PipelinedRequest> pipeline_;  ///< in the order of arrival
   std::uint64_t next_number_ = 1;
-  std::string waiting_;           ///< bytes of later requests; no more than one read of the socket
-  std::size_t held_bytes_ = 0;    ///< of answers that wait for those before them
-  common::TimePoint since_;       ///< last answer, or first byte of the present request
-  common::TimePoint first_byte_;  ///< of the request that is being read
-  common::TimePoint waiting_since_;  ///< when the first of the waiting bytes came
+  std::string waiting_;              ///< bytes of later requests; at most one read of the socket
+  std::size_t held_bytes_ = 0;       ///< body bytes of responses that wait for those before them
+  common::TimePoint last_activity_;  ///< last response, or first byte of the current request
+  common::TimePoint first_byte_;  ///< arrival of the first byte of the request that is being read
+  common::TimePoint waiting_since_;  ///< when the first of the waiting bytes arrived
   bool advancing_ = false;
   bool writing_ = false;
   bool is_paused_ = false;
-  bool owes_continue_ = false;
-  bool has_last_request_ = false;  ///< nothing that comes now is read
-  bool is_ending_ = false;         ///< the last answer has been handed to the stream
+  bool continue_pending_ = false;
+  bool has_last_request_ = false;  ///< bytes that arrive from now on are not read
+  bool is_ending_ = false;         ///< the last response has been passed to the stream
 };
 
 // ---------------------------------------------------------------- exchange
@@ -445,7 +450,7 @@
   respond_json(status_of(error.code), body.dump());
 }
 
-void HttpExchange::client_left() {
+void HttpExchange::on_client_closed() {
   answered_ = true;
   if (const auto gone = std::exchange(gone_, nullptr)) {
     gone();
@@ -464,7 +469,7 @@
   }
   const auto connections = std::exchange(connections_, {});
   for (const auto& [id, connection] : connections) {
-    connection->shut();
+    connection->shut_down();
   }
 }
 
@@ -507,7 +512,8 @@
     g_source_remove(std::exchange(accept_source_, 0));
   }
   if (listener_ != nullptr) {
-    // What waits to be accepted has been connected for its client, who may have sent its request.
+    // The clients of connections in the listen queue are already connected and may have sent
+    // requests.
     for (int i = 0; i < kBacklog && accept_one(); ++i) {
     }
     g_socket_close(listener_, nullptr);
@@ -525,7 +531,7 @@
 bool HttpServer::accept_one() {
   GSocket* socket = g_socket_accept(listener_, nullptr, nullptr);
   if (socket == nullptr) {
-    return false;  // none waits, or no descriptor is free: the sweep frees some
+    return false;  // none is waiting, or no descriptor is free: the sweep frees some
   }
   const std::uint64_t id = next_id_++;
   auto connection = std::make_shared<ServerConnection>(
@@ -556,7 +562,7 @@
   }
 }
 
-void HttpServer::forget(std::uint64_t id) { connections_.erase(id); }
+void HttpServer::remove_connection(std::uint64_t id) { connections_.erase(id); }
 
 std::size_t HttpServer::unfinished() const {
   std::size_t count = 0;
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -1,16 +1,16 @@
 #pragma once
-/// HTTP/1.1 server on GIO sockets and the http-parser library. Handlers may answer later.
+/// HTTP/1.1 server on GIO sockets and the http-parser library. Handlers may respond asynchronously.
 ///
 /// Invariants:
-///  - A handler gets whole requests only. Requests of one connection run side by side where the
-///    classifier (`run_side_by_side`) allows all of them; any other waits until those before it are
-///    answered, and nothing behind it is read before it is answered.
-///  - Answers leave in the order of their requests. Nothing behind an answer that closes the
-///    connection has been handed out.
-///  - A client that closes while its requests wait is noticed at once, also where its connection is
-///    not read because too much of it is under way.
-///  - A connection is announced as closing (`Connection: close`) in the answer before it is closed;
-///    an idle one is closed after its idle time, or when a stop asks for it.
+///  - A handler receives complete requests only. Requests of one connection run concurrently if the
+///    classifier (`run_side_by_side`) allows it for all of them; any other request waits until the
+///    requests before it are answered, and no later request is read until it is answered.
+///  - Responses are sent in the order of their requests. No request after a response that closes
+///    the connection is passed to a handler.
+///  - A client that closes its connection while requests are pending is detected at once, even
+///    while reading is paused because too many requests are in flight.
+///  - The last response before the server closes a connection carries `Connection: close`; an idle
+///    connection is closed after its idle timeout or when close_idle() is called.
 
 #include <functional>
 #include <map>
@@ -28,23 +28,23 @@
 class HttpServer;
 class ServerConnection;
 
-/// One request that waits for its answer. Answering twice, or after the client has gone, does
-/// nothing.
+/// One request that awaits its response. A second response, or one after the client has
+/// disconnected, is ignored.
 class HttpExchange {
  public:
-  /// @param number place among the requests of its connection.
-  /// @param first_byte when its first byte came, or had to wait on the connection.
+  /// @param number sequence number of the request on its connection.
+  /// @param first_byte when its first byte arrived, also if it was not parsed until later.
   HttpExchange(std::weak_ptr<ServerConnection> connection, std::uint64_t number,
                HttpMessage request, common::TimePoint first_byte);
   HttpExchange(const HttpExchange&) = delete;
   HttpExchange& operator=(const HttpExchange&) = delete;
-  /// A handler that drops an exchange without an answer has failed: the client is told 500.
+  /// Responds with status 500 if the handler dropped the exchange without a response.
   ~HttpExchange();
 
   std::string_view method() const { return request_.method; }
-  /// The path as it came, without the query.
+  /// Returns the path as received, without the query.
   std::string path() const;
-  /// Path and query as they came.
+  /// Returns path and query as received.
   const std::string& target() const { return request_.target; }
   /// @return the header's value, or "".
   std::string_view header(std::string_view name) const {
@@ -52,21 +52,22 @@
   }
   std::string_view body() const { return request_.body; }
   const HeaderList& headers() const { return request_.headers; }
-  /// When the request's first byte came. It may have waited unread behind others since then.
+  /// Returns when the request's first byte arrived. The request may have waited behind others since
+  /// then.
   common::TimePoint first_byte() const { return first_byte_; }
 
-  /// Answers; the length is stated here, `Connection` where it is needed.
+  /// Sends the response. Content-Length is added here, and `Connection` if needed.
   void respond(unsigned status, const HeaderList& headers, std::string_view body);
   void respond_text(unsigned status, const char* content_type, std::string_view body);
   void respond_json(unsigned status, std::string_view json, HeaderList headers = {});
-  /// Answers {"error", "step", "peer"} with the status that fits the error's code.
+  /// Responds with {"error", "code", "step", "peer"} and the status for the error's code.
   void respond_error(const common::Error& error);
-  /// Calls `gone` when the client closes before it was answered.
+  /// Calls `gone` if the client disconnects before the response.
   void on_gone(std::function<void()> gone) { gone_ = std::move(gone); }
 
  private:
   friend class ServerConnection;
-  void client_left();
+  void on_client_closed();
 
   std::weak_ptr<ServerConnection> connection_;
   std::uint64_t number_;
@@ -80,31 +81,32 @@
 
 struct HttpServerOptions {
   HttpLimits limits;
-  /// A request must be whole this long after its first byte.
+  /// A request must be complete within this time after its first byte.
   common::Duration request_timeout = std::chrono::seconds(30);
-  /// A connection without a request is closed after this time.
+  /// A connection without requests is closed after this time.
   common::Duration idle_timeout = std::chrono::seconds(60);
-  /// Requests of one connection under way at once; with so many, the connection is not read, so
-  /// that one client cannot fill a service. Chosen, not measured.
+  /// Maximum number of concurrent requests of one connection. At the limit, reading from the
+  /// connection pauses, so that one client cannot use all capacity of a service.
   std::size_t requests_side_by_side = 8;
-  /// While answers that wait for their turn hold more bytes, no further request of the connection
-  /// is started: some hundred answers of the usual size. Those that were started may still add
-  /// theirs.
+  /// Limit on the bytes of responses that wait for an earlier response: some hundred responses of
+  /// the usual size. Above it, no further request of the connection is started; requests already
+  /// started may still add their responses.
   std::size_t held_answer_bytes = 256 * 1024;
-  /// Ends a connection whose sent bytes stay without an acknowledgement; 0: the system's time.
+  /// Ends a connection whose sent bytes stay unacknowledged for this long; 0: the kernel's default.
   common::Duration unacknowledged_timeout{0};
-  /// Large bodies pass at its pace; outlives the server; none: no pace.
+  /// Limits the rate of large bodies; must outlive the server; null: no limit.
   LinkPacer* pacer = nullptr;
 };
 
-/// Options with a limit of body bytes and the other values at their defaults.
+/// Returns options with a limit of body bytes and defaults for all other values.
 HttpServerOptions options_with_body_limit(std::size_t bytes);
 
 class HttpServer {
  public:
   using Handler = std::function<void(ExchangePointer exchange)>;
-  /// Whether a request may run beside others of its connection: it may be repeated, and its answer
-  /// is short enough to be held. Called once for each request, when it has come whole.
+  /// Returns whether a request may run concurrently with others of its connection: it may be
+  /// repeated, and its response is short enough to be buffered. Called once for each complete
+  /// request.
   using Classifier = std::function<bool(const HttpMessage& request)>;
 
   /// Listens at "IP:port". @return kIo or kInvalid.
@@ -115,27 +117,28 @@
   HttpServer& operator=(const HttpServer&) = delete;
   ~HttpServer();
 
-  /// Without a classifier, the requests of a connection run one after the other.
+  /// Sets the classifier. If none is set, the requests of a connection run one after the other.
   void run_side_by_side(Classifier runs_beside_others) {
     runs_beside_others_ = std::move(runs_beside_others);
   }
-  /// Holds for connections and requests from now on.
+  /// Sets the options for later connections and requests.
   void set_options(HttpServerOptions options);
   const HttpServerOptions& options() const { return options_; }
-  /// From now on the last answer of what is under way on a connection announces the connection's
-  /// end; nothing behind it is handed out.
+  /// From now on, the response to the last request in flight on a connection carries the header
+  /// `Connection: close`; no request after it is passed to a handler.
   void announce_close() { closing_ = true; }
-  /// Accepts no further connections, but those that wait for it.
+  /// Accepts the connections in the listen queue, then stops listening.
   void stop_listening();
-  /// Closes connections that carry no request, read or not, and have no answer under way.
+  /// Closes connections that have no received request, parsed or not, and no unfinished response.
   void close_idle();
-  /// Requests refused before a handler saw them: malformed, too long, too slow.
+  /// Returns the number of requests rejected before they reached a handler: malformed, too large or
+  /// too slow.
   std::uint64_t refused() const { return refused_; }
-  /// Requests that have come, read or not, whose answer is not written to its last byte; a process
-  /// that ends before it is 0 cuts them.
+  /// Returns the number of received requests, parsed or not, whose response is not completely
+  /// written. A process that exits before this is 0 cuts them off.
   std::size_t unfinished() const;
   std::size_t connections() const { return connections_.size(); }
-  /// Connections accepted so far.
+  /// Returns the number of connections accepted so far.
   std::uint64_t accepted() const { return next_id_ - 1; }
 
  private:
@@ -143,10 +146,10 @@
   HttpServer(HttpServerOptions options, Handler handler);
   static gboolean on_incoming(gint fd, GIOCondition condition, gpointer self);
   static gboolean on_sweep(gpointer self);
-  /// @return false where no connection waits, or none can be taken.
+  /// @return false if no connection is waiting or none can be accepted.
   bool accept_one();
   void sweep();
-  void forget(std::uint64_t id);
+  void remove_connection(std::uint64_t id);
 
   HttpServerOptions options_;
   Handler handler_;
@@ -160,7 +163,7 @@
   std::map<std::uint64_t, std::shared_ptr<ServerConnection>> connections_;
 };
 
-/// HTTP status of an error code.
+/// Returns the HTTP status for an error code.
 unsigned status_of(common::ErrorCode code);
 
 }  // namespace planktray::transport
