--- a/src/transport/line_limit.hpp
+++ b/src/transport/line_limit.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// Bounds how many log lines of one kind a process writes; what is left out is counted and said.
+/// Limits the rate of log lines of one kind (token bucket). Suppressed lines are counted and the
+/// count is logged.
 
 #include <cstdint>
 
@@ -8,9 +9,9 @@
 namespace planktray::transport {
 
 struct LineLimitOptions {
-  /// A line costs about 20 us of processor time: 50 a second are a thousandth of a core.
+  /// A line costs about 20 us of processor time, so 50 lines per second use 0.1 % of a core.
   double lines_per_second = 50;
-  /// Lines at once, so that a short disturbance is logged whole.
+  /// Maximum burst of lines, so that a short disturbance is logged completely.
   double burst = 200;
 };
 
@@ -18,7 +19,7 @@
  public:
   explicit LineLimit(LineLimitOptions options = {}) : options_(options), credit_(options.burst) {}
 
-  /// @return true where one more line may be written. Says first how many were left out.
+  /// @return true if one more line may be written. Logs the number of suppressed lines first.
   bool allows(common::TimePoint now);
 
  private:
--- a/src/transport/line_output.hpp
+++ b/src/transport/line_output.hpp
@@ -1,10 +1,10 @@
 #pragma once
-/// Whole lines to a descriptor, without ever waiting for whoever reads them.
+/// Writes complete lines to a descriptor and never blocks on a slow reader.
 ///
-/// A reader that stops reading its pipe would otherwise stop the process at its next line, a
-/// leader's main loop included. What cannot be written at once is left out, counted, and told
-/// before the next line that can. One process must write to a pipe alone: between asking for room
-/// and writing, another writer could take it.
+/// A blocking write to a pipe whose reader has stopped would block the process, including a
+/// leader's main loop. A line that cannot be written at once is dropped and counted, and the count
+/// is written before the next line. The process must be the only writer of the pipe: another writer
+/// could fill it between the check for free space and the write.
 
 #include <cstdint>
 #include <string>
@@ -14,18 +14,19 @@
 
 class LineOutput {
  public:
-  /// @param descriptor stays open for longer than this object, which does not own it.
+  /// @param descriptor not owned; must stay open for the lifetime of this object.
   explicit LineOutput(int descriptor) : descriptor_(descriptor) {}
 
-  /// Writes one line with its end. What is longer than a pipe takes at once is cut.
-  /// @return false where it was left out.
+  /// Writes one line, which includes its line end. A line longer than an atomic pipe write is
+  /// truncated.
+  /// @return false if the line was dropped.
   bool write(std::string_view line);
-  /// Lines left out since the last one that was written.
+  /// Lines dropped since the last line that was written.
   std::uint64_t left_out() const { return left_out_; }
 
  private:
-  bool has_room() const;
-  bool write_whole(std::string_view text) const;
+  bool has_capacity() const;
+  bool write_all(std::string_view text) const;
 
   int descriptor_;
   std::uint64_t left_out_ = 0;
--- a/src/transport/logging.cpp
+++ b/src/transport/logging.cpp
@@ -21,7 +21,7 @@
   return fields;
 }
 
-/// Quotes values that hold spaces, quotes or line ends, so that a line stays one record.
+/// Quotes values that contain spaces, quotes or line ends, so that each record stays on one line.
 std::string quoted(const std::string& value) {
   if (!value.empty() && value.find_first_of(" \"\n\r\t=") == std::string::npos) {
     return value;
@@ -44,7 +44,7 @@
   return text;
 }
 
-/// Standard output that never holds the process up.
+/// Writes to standard output without blocking.
 class OutputAppender : public log4cplus::Appender {
  public:
   ~OutputAppender() override { destructorImpl(); }
@@ -52,7 +52,7 @@
 
  protected:
   void append(const log4cplus::spi::InternalLoggingEvent& event) override {
-    (void)output_.write(formatEvent(event));  // what it leaves out it tells later
+    (void)output_.write(formatEvent(event));  // dropped lines are reported before a later line
   }
 
  private:
@@ -63,7 +63,7 @@
 
 void start_logging(const std::string& program, const std::string& instance) {
   static const log4cplus::Initializer kInitializer;
-  std::signal(SIGPIPE, SIG_IGN);  // a reader that is gone must not end the process
+  std::signal(SIGPIPE, SIG_IGN);  // a closed pipe must not end the process
   common_fields() = " program=" + program + " instance=" + instance;
   log4cplus::SharedAppenderPtr appender(new OutputAppender());
   appender->setLayout(std::make_unique<log4cplus::PatternLayout>(
--- a/src/transport/logging.hpp
+++ b/src/transport/logging.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// Structured logs by log4cplus: one key=value line for each change of state, to standard output.
-/// What happens often is counted in metrics instead.
+/// Structured logging with log4cplus: one key=value line for each change of state, to standard
+/// output. Frequent events are counted in metrics instead.
 
 #include <initializer_list>
 #include <string>
@@ -17,7 +17,7 @@
 void start_logging(const std::string& program, const std::string& instance);
 /// Logs a change of state.
 void log_event(std::string_view event, std::initializer_list<LogField> fields);
-/// Logs a failure with its step and peer.
+/// Logs an error with its code, step, peer and message.
 void log_error(std::string_view event, const common::Error& error);
 
 }  // namespace planktray::transport
--- a/src/transport/metrics.hpp
+++ b/src/transport/metrics.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Metrics of a process, kept by prometheus-cpp and served as text at /metrics.
+/// Metrics of a process, stored in a prometheus-cpp registry and served as text at /metrics.
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -14,12 +14,12 @@
 
 class Metrics {
  public:
-  /// Brings a counter up to a total that is counted elsewhere.
+  /// Raises a counter to a total that is counted elsewhere.
   void set_counter(const std::string& name, const std::string& help, std::uint64_t total);
   void set_gauge(const std::string& name, const std::string& help, double value);
-  /// A histogram of seconds, from 100 microseconds to 10 seconds.
+  /// Returns a histogram of seconds with buckets from 100 microseconds to 10 seconds.
   prometheus::Histogram& latency_histogram(const std::string& name, const std::string& help);
-  /// The text format of all metrics, with the process's own memory and processor time.
+  /// Returns all metrics in text format, including memory and processor time of the process.
   std::string serialize();
 
  private:
