--- a/src/transport/link_pacer.cpp
+++ b/src/transport/link_pacer.cpp
@@ -5,11 +5,11 @@
 namespace planktray::transport {
 
 PacedDirection::PacedDirection(double bytes_per_second)
-    : scheduler_(bytes_per_second, boot_time_now()), alarm_([this] { give(); }) {}
+    : scheduler_(bytes_per_second, boot_time_now()), alarm_([this] { grant_waiting(); }) {}
 
-link::BodyId PacedDirection::add(std::size_t bytes, link::BodyRank rank, Leave leave) {
+link::BodyId PacedDirection::add(std::size_t bytes, link::BodyRank rank, GrantCallback grant) {
   const link::BodyId body = scheduler_.add(boot_time_now(), bytes, rank);
-  waiting_[body] = std::move(leave);
+  waiting_[body] = std::move(grant);
   set_alarm();
   return body;
 }
@@ -29,21 +29,21 @@
   set_alarm();
 }
 
-void PacedDirection::give() {
-  giving_ = true;
+void PacedDirection::grant_waiting() {
+  granting_ = true;
   for (const link::Piece& piece : scheduler_.take(boot_time_now())) {
     const auto found = waiting_.find(piece.body);
     if (found != waiting_.end()) {
-      const Leave leave = found->second;  // may remove itself
-      leave(piece.bytes);
+      const GrantCallback grant = found->second;  // copied: the callback may remove its own entry
+      grant(piece.bytes);
     }
   }
-  giving_ = false;
+  granting_ = false;
   set_alarm();
 }
 
 void PacedDirection::set_alarm() {
-  if (giving_) {
+  if (granting_) {
     return;
   }
   const auto due = scheduler_.next_due();
--- a/src/transport/tcp_stream.cpp
+++ b/src/transport/tcp_stream.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kReadBytes = 16 * 1024;
 
-/// Frees a GError and says whether it only means "not now".
+/// Frees a GError and returns whether it only means that the operation would block.
 bool is_would_block(GError* error) {
   const bool would_block = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK) != FALSE ||
                            g_error_matches(error, G_IO_ERROR, G_IO_ERROR_PENDING) != FALSE;
@@ -154,10 +154,10 @@
   std::array<char, kReadBytes> buffer;  // NOLINT: filled by the read
   GError* error = nullptr;
   const std::size_t most =
-      reading_.body == 0 ? buffer.size() : std::min(buffer.size(), reading_.leave);
+      reading_.body == 0 ? buffer.size() : std::min(buffer.size(), reading_.granted);
   const gssize count = g_socket_receive(socket_, buffer.data(), most, nullptr, &error);
   if (count > 0) {
-    note_received(static_cast<std::size_t>(count));
+    record_received(static_cast<std::size_t>(count));
     handlers_.on_data({buffer.data(), static_cast<std::size_t>(count)});
     return;
   }
@@ -220,7 +220,7 @@
       return;
     }
     sent_ = true;
-    note_sent(static_cast<std::size_t>(count));
+    record_sent(static_cast<std::size_t>(count));
     if (handlers_.on_sent) {
       handlers_.on_sent();
     }
@@ -264,7 +264,7 @@
     return;
   }
   watch_.reset();
-  leave_pacer();
+  remove_from_pacer();
   g_socket_close(socket_, nullptr);
   g_clear_object(&socket_);
   backlog_.clear();
@@ -272,13 +272,13 @@
   connected_ = false;
 }
 
-// ---------------------------------------------------------------- the link's pace
+// ---------------------------------------------------------------- link pacing
 
 std::size_t TcpStream::may_send() const {
   if (held_) {
     return 0;
   }
-  return writing_.body == 0 ? unsent() : std::min(unsent(), writing_.leave);
+  return writing_.body == 0 ? unsent() : std::min(unsent(), writing_.granted);
 }
 
 void TcpStream::pace_writing(std::size_t added) {
@@ -292,16 +292,16 @@
   if (unsent() <= link::kLargeBodyBytes) {
     return;
   }
-  writing_.leave = 0;
+  writing_.granted = 0;
   writing_.body = pacer_->outbound().add(unsent(), write_rank_, [this](std::size_t bytes) {
     const auto keep = shared_from_this();
-    writing_.leave += bytes;
+    writing_.granted += bytes;
     send_backlog();
     watch();
   });
 }
 
-void TcpStream::note_sent(std::size_t bytes) {
+void TcpStream::record_sent(std::size_t bytes) {
   backlog_sent_ += bytes;
   if (!is_writing()) {
     backlog_.clear();
@@ -313,7 +313,7 @@
   if (writing_.body == 0) {
     return pacer_->outbound().note_small(bytes);
   }
-  writing_.leave -= bytes;
+  writing_.granted -= bytes;
   if (pacer_->outbound().passed(writing_.body, bytes)) {
     writing_ = {};
   }
@@ -325,24 +325,25 @@
     return;
   }
   hang_up_ = hang_up;
-  reading_.leave = 0;
-  reading_.body = pacer_->inbound().add(bytes, link::BodyRank::kShared, [this](std::size_t leave) {
-    const auto keep = shared_from_this();
-    reading_.leave += leave;
-    receive();
-    watch();
-  });
+  reading_.granted = 0;
+  reading_.body =
+      pacer_->inbound().add(bytes, link::BodyRank::kShared, [this](std::size_t granted) {
+        const auto keep = shared_from_this();
+        reading_.granted += granted;
+        receive();
+        watch();
+      });
   watch();
 }
 
-void TcpStream::note_received(std::size_t bytes) {
+void TcpStream::record_received(std::size_t bytes) {
   if (pacer_ == nullptr) {
     return;
   }
   if (reading_.body == 0) {
     return pacer_->inbound().note_small(bytes);
   }
-  reading_.leave -= std::min(bytes, reading_.leave);
+  reading_.granted -= std::min(bytes, reading_.granted);
   if (pacer_->inbound().passed(reading_.body, bytes)) {
     reading_ = {};
   }
@@ -352,7 +353,7 @@
   if (paused_ || hang_up_ == HangUp::kEnds) {
     return end(StreamEnd::kClosed);
   }
-  // All that the peer sent is here: reading it slowly would spare the link nothing.
+  // All that the peer sent has arrived: reading it slowly would not relieve the link.
   peer_finished_ = true;
   if (reading_.body != 0) {
     pacer_->inbound().remove(reading_.body);
@@ -361,7 +362,7 @@
   watch();
 }
 
-void TcpStream::leave_pacer() {
+void TcpStream::remove_from_pacer() {
   if (writing_.body != 0) {
     pacer_->outbound().remove(writing_.body);
   }
--- a/src/transport/tcp_stream.hpp
+++ b/src/transport/tcp_stream.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// A TCP connection in the GLib main loop: non-blocking reads and writes, and how it ended.
+/// A TCP connection in the GLib main loop: non-blocking reads and writes, and the reason of its
+/// end.
 
 #include <gio/gio.h>
 
@@ -28,31 +29,31 @@
   kReset,   ///< reset, timed out, or another failure
 };
 
-/// What it means that a peer hangs up while a body of its is held back.
+/// How to treat a peer that closes its sending side while its body is read at the pacer's rate.
 enum class HangUp : std::uint8_t {
-  kReadOn,  ///< it has sent all that it had to: the body may be whole
-  kEnds,    ///< it no longer wants what it asked for
+  kReadOn,  ///< keep reading: the body may be complete
+  kEnds,    ///< end the stream: the peer has cancelled its request
 };
 
 class TcpStream : public std::enable_shared_from_this<TcpStream> {
  public:
-  /// Callbacks may close the stream; none comes after close().
+  /// Callbacks may close the stream; none is called after close().
   struct Handlers {
     std::function<void()> on_connected;
     /// The bytes are valid during the call.
     std::function<void(std::string_view bytes)> on_data;
     std::function<void(StreamEnd end)> on_end;
-    /// The system has taken some of what was given to write().
+    /// The kernel has accepted some of the bytes given to write().
     std::function<void()> on_sent;
-    /// Everything that was given to write() has been taken by the system.
+    /// The kernel has accepted all bytes given to write().
     std::function<void()> on_drained;
   };
 
-  /// Starts connecting. @param unacknowledged_timeout ends the connection when sent bytes stay
-  ///   without an acknowledgement for this long; 0 leaves the system's own time.
-  /// @param pacer gives leave to write and read large bodies; outlives the stream; none: no pace.
-  ///   Those that are written are requests, which it takes for promised: their server was chosen by
-  ///   what was known then.
+  /// Starts connecting. @param unacknowledged_timeout ends the connection if sent bytes stay
+  /// unacknowledged for this long; 0: the kernel's default.
+  /// @param pacer limits the rate of large bodies; must outlive the stream; null: no limit. Bodies
+  ///   written on this stream are requests and get the rank kPromised, since their server was
+  ///   chosen by the link's state at that time.
   static common::Result<std::shared_ptr<TcpStream>> connect(const std::string& address,
                                                             common::Duration unacknowledged_timeout,
                                                             LinkPacer* pacer = nullptr);
@@ -63,57 +64,58 @@
   TcpStream& operator=(const TcpStream&) = delete;
   ~TcpStream();
 
-  /// Sets the callbacks and begins to read.
+  /// Sets the callbacks and starts reading.
   void start(Handlers handlers);
-  /// Many bytes (`link::kLargeBodyBytes`) leave at the pacer's pace, where there is one.
+  /// Queues bytes for sending. More than `link::kLargeBodyBytes` are sent at the pacer's rate, if
+  /// there is a pacer.
   void write(std::string_view bytes);
-  /// Reads nothing until resume_reading(): the peer is held by the system's buffers. Its end is
-  /// noticed where those buffers hold all that it sent, and ends the stream; bytes that were not
-  /// read are dropped then.
+  /// Reads nothing until resume_reading(): the kernel's buffers fill and hold the peer back. If the
+  /// peer closes and the buffers hold all that it sent, the stream ends and unread bytes are
+  /// dropped.
   void pause_reading();
   void resume_reading();
-  /// While held, nothing more of what was given to write() is handed to the system.
+  /// While held, no further bytes given to write() are handed to the kernel.
   void hold_writing(bool held);
-  /// So many bytes of a body are still to come: many are read at the pacer's pace, which holds the
-  /// sender back. A peer that hangs up meanwhile is noticed at once.
+  /// Announces that this many bytes of a body are still to be received. A large body is read at the
+  /// pacer's rate, which slows the sender down. A peer that hangs up meanwhile is detected at once.
   void expect(std::size_t bytes, HangUp hang_up);
-  /// Closes at once; bytes that the peer has not acknowledged may still reach it.
+  /// Closes at once; bytes that the peer has not acknowledged may still be delivered.
   void close();
-  /// Ends the connection by a reset: bytes that are still under way reach nobody.
+  /// Ends the connection by a reset, so that bytes still queued or in transit are not delivered.
   void abort();
-  /// Sends what is left, then ends the sending side; reading goes on until the peer closes.
+  /// Sends the queued bytes, then closes the sending side; reading continues until the peer closes.
   void finish_writing();
 
   bool is_open() const { return socket_ != nullptr; }
   bool is_connected() const { return connected_; }
-  /// True once the system has taken a byte of what was written.
+  /// True once the kernel has accepted a written byte.
   bool has_sent() const { return sent_; }
-  /// True where bytes have come that were not handed out yet.
+  /// True if the kernel holds received bytes that were not read yet.
   bool has_unread() const;
-  /// True while nothing is read: by pause_reading(), or until the pacer gives leave.
-  bool is_read_paused() const { return paused_ || (reading_.body != 0 && reading_.leave == 0); }
-  /// True while a large body is read at the pacer's pace.
+  /// True while nothing is read: after pause_reading(), or until the pacer grants bytes.
+  bool is_read_paused() const { return paused_ || (reading_.body != 0 && reading_.granted == 0); }
+  /// True while a large body is read at the pacer's rate.
   bool is_paced() const { return reading_.body != 0; }
-  /// True while written bytes wait for the system to take them.
+  /// True while written bytes wait to be accepted by the kernel.
   bool is_writing() const { return unsent() > 0; }
 
  private:
-  /// A large body in one direction: the pacer's name for it, and what may pass of it now.
+  /// A large body in one direction: its id at the pacer and the bytes granted now.
   struct Paced {
-    link::BodyId body = 0;  ///< 0: none
-    std::size_t leave = 0;  ///< bytes
+    link::BodyId body = 0;    ///< 0: none
+    std::size_t granted = 0;  ///< bytes that may pass now
   };
 
   TcpStream(GSocket* socket, bool connected, LinkPacer* pacer)
       : socket_(socket), connected_(connected), pacer_(pacer) {}
   std::size_t unsent() const { return backlog_.size() - backlog_sent_; }
   std::size_t may_send() const;
-  /// @param added bytes that were just put behind the others.
+  /// @param added number of bytes that were just appended to the backlog.
   void pace_writing(std::size_t added);
-  void note_sent(std::size_t bytes);
-  void note_received(std::size_t bytes);
+  void record_sent(std::size_t bytes);
+  void record_received(std::size_t bytes);
   void on_hang_up();
-  void leave_pacer();
+  void remove_from_pacer();
   void watch();
   void on_ready(DescriptorWatch::Readiness readiness);
   void on_writable();
@@ -126,7 +128,7 @@
   bool connected_;
   bool sent_ = false;
   bool finishing_ = false;
-  bool peer_finished_ = false;  ///< it has hung up, and all that it sent is here
+  bool peer_finished_ = false;  ///< the peer has hung up, and all that it sent has arrived
   bool paused_ = false;         ///< by pause_reading()
   bool held_ = false;           ///< by hold_writing()
   Handlers handlers_;
@@ -135,8 +137,8 @@
   Paced writing_;
   Paced reading_;
   HangUp hang_up_ = HangUp::kReadOn;
-  std::string backlog_;           ///< what was written
-  std::size_t backlog_sent_ = 0;  ///< bytes of it that the system has taken
+  std::string backlog_;           ///< bytes given to write()
+  std::size_t backlog_sent_ = 0;  ///< bytes of it that the kernel has accepted
   std::unique_ptr<DescriptorWatch> watch_;
 };
 
