--- a/src/transport/reach_check.cpp
+++ b/src/transport/reach_check.cpp
@@ -76,7 +76,7 @@
   }
   if (check->stream != nullptr) {
     check->stream->close();
-    // It may be what calls here.
+    // Deferred, since this function may be running in a callback of the stream.
     g_idle_add(on_release, new std::shared_ptr<TcpStream>(std::move(check->stream)));
   }
   check->callback(reach);
--- a/src/transport/reach_check.hpp
+++ b/src/transport/reach_check.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// Finds out whether anybody listens at an address, by a connection that carries nothing.
+/// Checks whether a process listens at an address by opening a connection and sending nothing on
+/// it.
 
 #include <glib.h>
 
@@ -14,25 +15,26 @@
 namespace planktray::transport {
 
 enum class Reach : std::uint8_t {
-  kListens,  ///< a connection came up
-  kRefused,  ///< the machine says that nobody listens there
-  kUnknown,  ///< no word in time
+  kListens,  ///< a connection was established
+  kRefused,  ///< the connection was refused or ended: no process listens there
+  kUnknown,  ///< no result in time
 };
 
 class ReachChecker {
  public:
   using Callback = std::function<void(Reach reach)>;
 
-  /// @param delay before the connection is tried: a process that ends closes its connections a
+  /// @param delay time before the connection attempt: an exiting process closes its connections a
   ///   moment before it stops listening.
-  /// @param timeout without a word.
+  /// @param timeout of the connection attempt.
   ReachChecker(common::Duration delay, common::Duration timeout)
       : delay_(delay), timeout_(timeout) {}
   ReachChecker(const ReachChecker&) = delete;
   ReachChecker& operator=(const ReachChecker&) = delete;
   ~ReachChecker();
 
-  /// Calls back exactly once, never within this call, unless the checker ends before.
+  /// Calls `callback` exactly once, never within this call, and not after the checker's
+  /// destruction.
   void check(const std::string& address, Callback callback);
 
  private:
--- a/src/transport/wire.hpp
+++ b/src/transport/wire.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// Messages between the project's own processes, carried as ZeroMQ frames:
-/// [protocol version][MessagePack of WireMessage].
+/// Messages between planktray processes, sent as ZeroMQ frames: [protocol version][MessagePack of
+/// WireMessage].
 
 #include <string>
 #include <string_view>
--- a/src/transport/zmq_socket.cpp
+++ b/src/transport/zmq_socket.cpp
@@ -15,9 +15,9 @@
 constexpr std::int64_t kMaxMessageBytes = 64 * 1024 * 1024;
 constexpr int kReconnectMs = 50;
 constexpr int kReconnectMaxMs = 500;
-/// A machine that is gone says nothing: what hangs on it must end by itself. Where all machines
-/// start at once, some are not up for the first attempt, and the system repeats its opening packet
-/// only after a second: a new attempt is sooner.
+/// A machine that is down sends no reset, so connection attempts need a timeout. When all machines
+/// start at the same time, some do not answer the first attempt, and the kernel retransmits a SYN
+/// only after one second: a new attempt connects sooner.
 constexpr int kConnectTimeoutMs = 250;
 constexpr int kHandshakeMs = 1000;
 constexpr int kUnacknowledgedMs = 1200;
@@ -53,7 +53,7 @@
   socket_.set(zmq::sockopt::connect_timeout, kConnectTimeoutMs);
   socket_.set(zmq::sockopt::handshake_ivl, kHandshakeMs);
   socket_.set(zmq::sockopt::tcp_maxrt, kUnacknowledgedMs);
-  // Messages for a peer that is away are dropped: when it is back they would be old.
+  // Messages for a disconnected peer are dropped: they would be outdated when it reconnects.
   socket_.set(zmq::sockopt::immediate, 1);
 }
 
@@ -116,7 +116,8 @@
 }
 
 void ZmqSocket::schedule_check() {
-  // The socket's descriptor is edge-triggered, so a send may swallow the edge of an arrival.
+  // The socket's descriptor is edge-triggered, so a send may consume the edge of a received
+  // message.
   if (idle_source_ == 0) {
     idle_source_ = g_idle_add_full(G_PRIORITY_HIGH, on_idle, this, nullptr);
   }
--- a/src/transport/zmq_socket.hpp
+++ b/src/transport/zmq_socket.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// ZeroMQ sockets inside the GLib main loop. Garbage and foreign protocol versions are counted and
-/// dropped.
+/// ZeroMQ sockets in the GLib main loop. Malformed messages and messages of other protocol versions
+/// are counted and dropped.
 
 #include <glib.h>
 
@@ -20,7 +20,7 @@
   std::uint64_t received = 0;
   std::uint64_t bytes_sent = 0;
   std::uint64_t bytes_received = 0;
-  std::uint64_t refused = 0;  ///< damaged, or of another protocol version
+  std::uint64_t refused = 0;  ///< malformed, or of another protocol version
 };
 
 /// Encodes and decodes the frames of one message.
@@ -28,17 +28,17 @@
 common::Result<WireMessage> decode_wire(std::string_view version, std::string_view body,
                                         std::string_view peer);
 
-/// A ROUTER socket that answers by the identity of the sender, or a DEALER connected to one.
+/// A ROUTER socket that addresses peers by their identity, or a DEALER connected to one.
 class ZmqSocket {
  public:
-  /// @param identity of the sender; empty for a message that came to a DEALER.
+  /// @param identity identity of the sender; empty for a message received by a DEALER.
   using Handler = std::function<void(const std::string& identity, const WireMessage& message)>;
 
-  /// Binds a ROUTER socket at "IP:port". @return kIo where the address cannot be had.
+  /// Binds a ROUTER socket at "IP:port". @return kIo if the address cannot be bound.
   static common::Result<std::unique_ptr<ZmqSocket>> bind(zmq::context_t& context,
                                                          const std::string& address,
                                                          Handler handler);
-  /// Connects a DEALER socket; reconnects by itself.
+  /// Connects a DEALER socket; reconnects automatically.
   static common::Result<std::unique_ptr<ZmqSocket>> connect(zmq::context_t& context,
                                                             const std::string& address,
                                                             const std::string& identity,
@@ -47,7 +47,7 @@
   ZmqSocket& operator=(const ZmqSocket&) = delete;
   ~ZmqSocket();
 
-  /// Sends without waiting; a message that cannot be queued is dropped and counted.
+  /// Sends without blocking; a message that cannot be queued is dropped and counted.
   void send(const std::string& identity, const WireMessage& message);
   void send(const WireMessage& message) { send("", message); }
   const SocketCounters& counters() const { return counters_; }
