--- a/src/storage/record.hpp
+++ b/src/storage/record.hpp
@@ -23,8 +23,7 @@
 
 /// Reads records up to the first incomplete or damaged one.
 /// @return kCorrupt if an intact record follows the damage: synced data is then lost, and the
-/// folder
-///   must not be used. Damage that no intact record follows is a torn tail, which was never
+///   folder must not be used. Damage that no intact record follows is a torn tail, which was never
 ///   acknowledged.
 common::Result<ScanResult> scan_records(std::string_view file, const std::string& file_name);
 
