--- a/src/common/codec.hpp
+++ b/src/common/codec.hpp
@@ -10,10 +10,10 @@
 
 namespace planktray::common {
 
-/// Depth limit against hostile input; real messages nest less than half as deep.
+/// Nesting limit against hostile input; valid messages nest less than half as deep.
 inline constexpr std::size_t kMaxDecodeDepth = 32;
 
-/// Encodes any type that MessagePack knows.
+/// Encodes a value of any type that MessagePack supports.
 template <typename T>
 std::string encode(const T& value) {
   msgpack::sbuffer buffer;
@@ -21,16 +21,17 @@
   return std::string(buffer.data(), buffer.size());
 }
 
-/// Decodes one value that fills `bytes` exactly.
-/// @param step and peer name the place for the error.
+/// Decodes one value that must occupy all of `bytes`.
+/// @param step, peer reported in the error.
 /// @return the value, or kCorrupt for damaged, truncated or oversized input.
 template <typename T>
 Result<T> decode(std::string_view bytes, std::string_view step, std::string_view peer) {
   try {
-    // No container or text can have more parts than there are bytes: a short message must not make
-    // the reader reserve memory for a length that it only claims.
-    const std::size_t most = bytes.size();
-    const msgpack::unpack_limit limit(most, most, most, most, most, kMaxDecodeDepth);
+    // No container or string has more elements than the input has bytes. The limit keeps a short
+    // message with a false length from reserving excessive memory.
+    const std::size_t max_size = bytes.size();
+    const msgpack::unpack_limit limit(max_size, max_size, max_size, max_size, max_size,
+                                      kMaxDecodeDepth);
     std::size_t offset = 0;
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), offset, nullptr, nullptr, limit);
@@ -45,7 +46,7 @@
   }
 }
 
-/// A variant with an encoding; messages and commands are built on it.
+/// A variant with a MessagePack encoding. Messages and commands use it.
 template <typename... Alternatives>
 struct EncodedVariant {
   std::variant<Alternatives...> value;
@@ -66,8 +67,8 @@
       throw msgpack::type_error();
     }
     const auto index = object.via.array.ptr[0].as<std::uint32_t>();
-    const bool known = assign<0>(index, object.via.array.ptr[1]);
-    if (!known) {
+    const bool is_known = assign<0>(index, object.via.array.ptr[1]);
+    if (!is_known) {
       throw msgpack::type_error();
     }
   }
@@ -86,7 +87,7 @@
   }
 };
 
-/// Helper for std::visit with lambdas.
+/// Overload set of several lambdas, for std::visit.
 template <typename... Functions>
 struct Overloaded : Functions... {
   using Functions::operator()...;
