--- a/src/common/error.cpp
+++ b/src/common/error.cpp
@@ -27,12 +27,12 @@
 }
 
 std::string Error::describe() const {
-  std::string line(to_string(code));
-  line += ": " + message + " (step " + step;
+  std::string text(to_string(code));
+  text += ": " + message + " (step " + step;
   if (!peer.empty()) {
-    line += ", peer " + peer;
+    text += ", peer " + peer;
   }
-  return line + ")";
+  return text + ")";
 }
 
 tl::unexpected<Error> fail(ErrorCode code, std::string step, std::string peer,
--- a/src/common/error.hpp
+++ b/src/common/error.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Errors that carry the step and the peer at which they arose.
+/// Errors with the step and the peer at which they occurred.
 
 #include <string>
 #include <string_view>
@@ -7,35 +7,37 @@
 
 namespace planktray::common {
 
+/// Category of a failure.
 enum class ErrorCode {
-  kInvalid,      ///< the input can never be accepted as it is
-  kNotFound,     ///< the named thing does not exist
-  kConflict,     ///< another change came first
-  kNotLeader,    ///< another replica has to be asked
-  kUnavailable,  ///< it may work later
-  kTimeout,      ///< no answer in time; the outcome is not known
+  kInvalid,      ///< the input is invalid; a retry with the same input fails
+  kNotFound,     ///< the named item does not exist
+  kConflict,     ///< a concurrent change was accepted first
+  kNotLeader,    ///< this replica is not the leader
+  kUnavailable,  ///< a later retry may succeed
+  kTimeout,      ///< no response before the deadline; the outcome is unknown
   kCorrupt,      ///< stored or received bytes are damaged
   kIo,           ///< a file or socket operation failed
 };
 
-/// Name of an error code, as it is printed and sent.
+/// Name of an error code in printed and transmitted errors.
 std::string_view to_string(ErrorCode code);
 
-/// A failure: what went wrong, during which step, and with which peer (empty: this process).
+/// A failure: message, step, and peer (empty: this process).
 struct Error {
   ErrorCode code = ErrorCode::kInvalid;
   std::string step;
   std::string peer;
   std::string message;
 
-  /// One line for logs and terminals.
+  /// Single-line description for logs and terminals.
   std::string describe() const;
 };
 
+/// A value, or the error that prevented it.
 template <typename T>
 using Result = tl::expected<T, Error>;
 
-/// Shorthand for returning a failure from a function with a `Result` type.
+/// Creates a failure to return from a function with a `Result` return type.
 tl::unexpected<Error> fail(ErrorCode code, std::string step, std::string peer, std::string message);
 
 }  // namespace planktray::common
