--- a/src/common/hash.hpp
+++ b/src/common/hash.hpp
@@ -6,7 +6,7 @@
 
 namespace planktray::common {
 
-/// 64-bit xxHash (XXH3) of `bytes` under `seed`.
+/// Returns the 64-bit xxHash (XXH3) of `bytes` with `seed`.
 std::uint64_t hash_bytes(std::string_view bytes, std::uint64_t seed);
 
 }  // namespace planktray::common
--- a/src/common/ids.hpp
+++ b/src/common/ids.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// Strong identifier types. Each wraps one value, compares by it, and is encoded as that bare
-/// value.
+/// Strong identifier types. Each wraps one value, is compared by the value, and is encoded as the
+/// bare value.
 
 #include <compare>
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace planktray::common {
 
-/// An identifier that wraps `Rep`; `Tag` keeps identifiers of different meaning apart.
+/// An identifier that wraps a `Rep`. `Tag` gives each kind of identifier a type of its own.
 template <typename Tag, typename Rep>
 struct StrongId {
   Rep value{};
@@ -35,15 +35,15 @@
 using Term = StrongId<struct TermTag, std::uint64_t>;
 /// Position in the replicated log; the first entry has index 1.
 using LogIndex = StrongId<struct LogIndexTag, std::uint64_t>;
-/// Fencing token of a shard assignment: the log index of the entry that made it.
+/// Fencing token of a shard assignment: the log index of the entry that created it.
 using Epoch = StrongId<struct EpochTag, std::uint64_t>;
-/// One registered incarnation of a back end: the log index of its registration entry. 0 is none.
+/// A registered incarnation of a back end: the log index of its registration entry. 0: none.
 using BackendId = StrongId<struct BackendTag, std::uint64_t>;
-/// A service of a tenant inside one cell. 0 is none.
+/// A service of a tenant within one cell. 0: none.
 using ServiceId = StrongId<struct ServiceIdTag, std::uint64_t>;
 /// Number of a shard within its service, from 0.
 using ShardNumber = StrongId<struct ShardTag, std::uint32_t>;
-/// Revision of a template or tenant; the first is 1, 0 means "none yet".
+/// Revision of a template or tenant. The first is 1; 0: none exists yet.
 using Revision = StrongId<struct RevisionTag, std::uint64_t>;
 
 using CellName = StrongId<struct CellTag, std::string>;
@@ -54,14 +54,14 @@
 using TemplateName = StrongId<struct TemplateTag, std::string>;
 using ServiceName = StrongId<struct ServiceNameTag, std::string>;
 using RouterName = StrongId<struct RouterTag, std::string>;
-/// Identity that a back end process makes at its start.
+/// Identity that a back end process generates at startup.
 using Incarnation = StrongId<struct IncarnationTag, std::string>;
-/// Identity that an operator gives to one change, so that a resend is recognised.
+/// Identity that an operator assigns to a change; identifies a resend.
 using ChangeId = StrongId<struct ChangeTag, std::string>;
-/// Identity of one caller's request.
+/// Identity of a caller's request.
 using RequestId = StrongId<struct RequestTag, std::string>;
 
-/// A service as operators and callers name it.
+/// Name of a service as used by operators and callers.
 struct ServiceKey {
   TenantName tenant;
   ServiceName service;
--- a/src/common/random.hpp
+++ b/src/common/random.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Random numbers, always passed in, so that the simulator can seed them.
+/// Random numbers. Callers pass the engine, so that the simulator can seed it.
 
 #include <cstdint>
 #include <random>
@@ -8,19 +8,19 @@
 
 using RandomEngine = std::mt19937_64;
 
-/// Uniform integer in [low, high]; `high` must not be below `low`. The same engine state gives the
-/// same number on every platform, which std::uniform_int_distribution does not promise.
+/// Returns a random integer in [low, high]; `high` must not be below `low`. The same engine state
+/// gives the same number on every platform, which std::uniform_int_distribution does not guarantee.
 inline std::uint64_t uniform(RandomEngine& engine, std::uint64_t low, std::uint64_t high) {
   return low + engine() % (high - low + 1);
 }
 
-/// Uniform real number in [0, 1).
+/// Returns a uniform real number in [0, 1).
 inline double uniform_real(RandomEngine& engine) {
   constexpr double kScale = 1.0 / 9007199254740992.0;  // 2^-53
   return static_cast<double>(engine() >> 11U) * kScale;
 }
 
-/// True with the given probability.
+/// Returns true with the given probability.
 inline bool chance(RandomEngine& engine, double probability) {
   return uniform_real(engine) < probability;
 }
--- a/src/common/time.hpp
+++ b/src/common/time.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// Time as the decision code sees it: a monotonic clock that runs on while the process is stopped.
-/// Decision code never reads a clock; the time comes in with every input.
+/// Time types of the decision code, based on a monotonic clock that also runs while the process is
+/// stopped. Decision code never reads a clock; every input carries the time.
 
 #include <chrono>
 #include <cstdint>
@@ -18,9 +18,9 @@
 
 using TimePoint = std::chrono::time_point<MonotonicClock, Duration>;
 
-/// Microseconds of a time point since the clock's own start.
+/// Microseconds from the clock's epoch to a time point.
 inline std::int64_t to_microseconds(TimePoint time) { return time.time_since_epoch().count(); }
-/// Time point from microseconds since the clock's own start.
+/// Time point at the given number of microseconds after the clock's epoch.
 inline TimePoint from_microseconds(std::int64_t value) { return TimePoint(Duration(value)); }
 
 }  // namespace planktray::common
