--- a/src/common/promised_times.hpp
+++ b/src/common/promised_times.hpp
@@ -1,5 +1,6 @@
 #pragma once
-/// What a deployment promises its operators, as controllers and routers are told alike.
+/// Time limits that a deployment guarantees to operators. Controllers and routers use the same
+/// settings.
 
 #include <algorithm>
 
@@ -7,15 +8,15 @@
 
 namespace planktray::common {
 
-/// Promised times; 0: nothing is promised.
+/// Guaranteed time limits; 0: no guarantee.
 struct PromisedTimes {
-  Duration in_force{0};      ///< an acknowledged configuration holds at every router
-  Duration leaving{0};       ///< a back end whose leaving is acknowledged gets nothing more
-  Duration longest_hold{0};  ///< no grant may hold longer
-  /// Back ends of a zone whose evacuation is acknowledged get nothing more.
+  Duration in_force{0};      ///< until an acknowledged configuration applies at every router
+  Duration leaving{0};       ///< until a back end gets no requests after its acknowledged departure
+  Duration longest_hold{0};  ///< upper limit of a grant's duration
+  /// Until the back ends of a zone get no requests after its acknowledged evacuation.
   Duration evacuation{0};
 
-  /// The shorter time for a change to reach all routers; 0: none is promised.
+  /// Shortest guaranteed time for a change to reach all routers; 0: no guarantee.
   Duration shortest_change() const {
     const bool has_both = in_force.count() > 0 && leaving.count() > 0;
     return has_both ? std::min(in_force, leaving) : std::max(in_force, leaving);
