--- a/src/common/histogram.hpp
+++ b/src/common/histogram.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Log-linear histogram of durations with about 3% precision, for measurements and the load tool.
+/// Log-linear histogram of durations with a relative error of about 3%.
 
 #include <algorithm>
 #include <array>
@@ -10,15 +10,16 @@
 
 namespace planktray::common {
 
+/// Counts durations in buckets and estimates quantiles.
 class Histogram {
  public:
   void add(Duration value) {
-    const auto count = static_cast<std::uint64_t>(std::max<Duration::rep>(0, value.count()));
-    ++buckets_[bucket_of(count)];
+    const auto microseconds = static_cast<std::uint64_t>(std::max<Duration::rep>(0, value.count()));
+    ++buckets_[bucket_of(microseconds)];
     ++total_;
     maximum_ = std::max(maximum_, value);
   }
-  /// Adds all that another histogram counted.
+  /// Adds the counts of another histogram.
   void merge(const Histogram& other) {
     for (std::size_t i = 0; i < buckets_.size(); ++i) {
       buckets_[i] += other.buckets_[i];
@@ -26,13 +27,14 @@
     total_ += other.total_;
     maximum_ = std::max(maximum_, other.maximum_);
   }
-  /// @param fraction in [0, 1]. @return an upper bound of that quantile, 0 where empty.
+  /// @param fraction in [0, 1].
+  /// @return an upper bound of that quantile, or 0 if the histogram is empty.
   Duration quantile(double fraction) const {
-    const auto wanted = static_cast<std::uint64_t>(fraction * static_cast<double>(total_));
-    std::uint64_t seen = 0;
+    const auto rank = static_cast<std::uint64_t>(fraction * static_cast<double>(total_));
+    std::uint64_t cumulative = 0;
     for (std::size_t i = 0; i < buckets_.size(); ++i) {
-      seen += buckets_[i];
-      if (buckets_[i] > 0 && (seen > wanted || seen == total_)) {
+      cumulative += buckets_[i];
+      if (buckets_[i] > 0 && (cumulative > rank || cumulative == total_)) {
         return std::min(maximum_, Duration(static_cast<Duration::rep>(upper_bound(i))));
       }
     }
