--- a/src/cli/controller_client.cpp
+++ b/src/cli/controller_client.cpp
@@ -9,7 +9,7 @@
 namespace planktray::cli {
 namespace {
 
-constexpr std::chrono::milliseconds kPause(100);
+constexpr std::chrono::milliseconds kRetryInterval(100);
 constexpr std::chrono::milliseconds kRequestTimeout(3000);
 constexpr unsigned kServiceUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
@@ -20,10 +20,10 @@
                                    std::chrono::milliseconds patience)
     : controllers_(std::move(controllers)), patience_(patience) {}
 
-common::Result<ControllerAnswer> ControllerClient::ask_one(const std::string& controller,
-                                                           const std::string& method,
-                                                           const std::string& path,
-                                                           const nlohmann::json& body) {
+common::Result<ControllerResponse> ControllerClient::send_to(const std::string& controller,
+                                                             const std::string& method,
+                                                             const std::string& path,
+                                                             const nlohmann::json& body) {
   transport::EventLoop loop;
   transport::HttpClient client(transport::HttpClientOptions{});
   transport::HttpRequest request;
@@ -42,7 +42,7 @@
   if (!response.is_whole()) {
     return tl::unexpected(response.error);
   }
-  ControllerAnswer answer;
+  ControllerResponse answer;
   answer.status = response.status;
   answer.body = nlohmann::json::parse(response.text(), nullptr, false);
   if (answer.body.is_discarded()) {
@@ -51,34 +51,34 @@
   return answer;
 }
 
-common::Result<ControllerAnswer> ControllerClient::ask(const std::string& method,
-                                                       const std::string& path,
-                                                       const nlohmann::json& body) {
-  const auto give_up = std::chrono::steady_clock::now() + patience_;
-  common::Error last{common::ErrorCode::kUnavailable, "ask controllers", "",
-                     "no controller is configured"};
-  std::string next;
-  for (std::size_t i = 0; std::chrono::steady_clock::now() < give_up && !controllers_.empty();
+common::Result<ControllerResponse> ControllerClient::send(const std::string& method,
+                                                          const std::string& path,
+                                                          const nlohmann::json& body) {
+  const auto deadline = std::chrono::steady_clock::now() + patience_;
+  common::Error last_error{common::ErrorCode::kUnavailable, "ask controllers", "",
+                           "no controller is configured"};
+  std::string leader;
+  for (std::size_t i = 0; std::chrono::steady_clock::now() < deadline && !controllers_.empty();
        ++i) {
-    const std::string controller = next.empty() ? controllers_[i % controllers_.size()] : next;
-    next.clear();
-    auto answer = ask_one(controller, method, path, body);
+    const std::string controller = leader.empty() ? controllers_[i % controllers_.size()] : leader;
+    leader.clear();
+    auto answer = send_to(controller, method, path, body);
     if (answer.has_value() && answer->status != kServiceUnavailable &&
         answer->status != kGatewayTimeout) {
       return answer;
     }
     if (answer.has_value()) {
-      last = {common::ErrorCode::kUnavailable, answer->body.value("step", "ask controllers"),
-              controller, answer->body.value("error", "no answer")};
+      last_error = {common::ErrorCode::kUnavailable, answer->body.value("step", "ask controllers"),
+                    controller, answer->body.value("error", "no response")};
       if (answer->body.value("code", "") == "not-leader") {
-        next = answer->body.value("peer", "");
+        leader = answer->body.value("peer", "");
       }
     } else {
-      last = answer.error();
+      last_error = answer.error();
     }
-    std::this_thread::sleep_for(next.empty() ? kPause : kPause / 10);
+    std::this_thread::sleep_for(leader.empty() ? kRetryInterval : kRetryInterval / 10);
   }
-  return tl::unexpected(last);
+  return tl::unexpected(last_error);
 }
 
 }  // namespace planktray::cli
--- a/src/cli/controller_client.hpp
+++ b/src/cli/controller_client.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Talks to a cell's controllers: finds the leader and asks again where that is safe.
+/// HTTP client for the controllers of a cell. Finds the leader and retries requests.
 
 #include <chrono>
 #include <nlohmann/json.hpp>
@@ -10,25 +10,28 @@
 
 namespace planktray::cli {
 
-struct ControllerAnswer {
+/// Status and body of a controller's response. A body that is not JSON is kept as a string.
+struct ControllerResponse {
   unsigned status = 0;
   nlohmann::json body;
 };
 
+/// Sends requests to the controllers of one cell and blocks until they complete.
 class ControllerClient {
  public:
-  /// @param controllers "IP:port" of operator addresses; @param patience how long to look for a
-  ///   leader.
+  /// @param controllers operator addresses, each "IP:port".
+  /// @param patience time limit for finding a leader.
   ControllerClient(std::vector<std::string> controllers, std::chrono::milliseconds patience);
 
-  /// Asks until a leader answers or patience ends. Changes carry a change id, so asking again is
-  /// safe. @return kTimeout or kUnavailable where nobody answered.
-  common::Result<ControllerAnswer> ask(const std::string& method, const std::string& path,
-                                       const nlohmann::json& body = nullptr);
-  /// Asks one controller once.
-  common::Result<ControllerAnswer> ask_one(const std::string& controller, const std::string& method,
-                                           const std::string& path,
-                                           const nlohmann::json& body = nullptr);
+  /// Retries the request until a leader responds or the time limit expires. Retries are safe
+  /// because changes carry a change id.
+  /// @return kTimeout or kUnavailable if no leader responded.
+  common::Result<ControllerResponse> send(const std::string& method, const std::string& path,
+                                          const nlohmann::json& body = nullptr);
+  /// Sends the request to one controller, without retries.
+  common::Result<ControllerResponse> send_to(const std::string& controller,
+                                             const std::string& method, const std::string& path,
+                                             const nlohmann::json& body = nullptr);
   const std::vector<std::string>& controllers() const { return controllers_; }
 
  private:
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-/// planktray: the operators' command line.
+/// planktray: command-line tool for operators.
 
 #include <glib.h>
 
@@ -16,8 +16,8 @@
 namespace {
 
 using nlohmann::json;
-using planktray::cli::ControllerAnswer;
 using planktray::cli::ControllerClient;
+using planktray::cli::ControllerResponse;
 using planktray::cli::DeclarationFile;
 using planktray::ownership::DeclarationKind;
 
@@ -73,8 +73,9 @@
   return exit_code;
 }
 
-/// Prints an answer that is not 200.
-int print_refusal(const Options& options, const ControllerAnswer& answer) {
+/// Prints a response with a status other than 200.
+/// @return the exit code for the status.
+int print_rejection(const Options& options, const ControllerResponse& answer) {
   const std::string message =
       answer.body.is_object() ? answer.body.value("error", "refused") : "refused";
   if (options.as_json) {
@@ -132,24 +133,26 @@
   return exit_code;
 }
 
-/// The revision a change should replace: as given, or the present one.
+/// Returns the revision that a change replaces: the one given in the options, or the current one.
+/// 0: no declaration exists.
 planktray::common::Result<std::uint64_t> find_revision(ControllerClient& client,
                                                        const Options& options,
                                                        const std::string& path) {
   if (options.replaces >= 0) {
     return static_cast<std::uint64_t>(options.replaces);
   }
-  const auto present = client.ask("GET", path);
-  if (!present.has_value()) {
-    return tl::unexpected(present.error());
+  const auto current = client.send("GET", path);
+  if (!current.has_value()) {
+    return tl::unexpected(current.error());
   }
-  return present->status == kStatusOk ? present->body.value("revision", std::uint64_t{0}) : 0;
+  return current->status == kStatusOk ? current->body.value("revision", std::uint64_t{0}) : 0;
 }
 
+/// Waits until every live router applies the change at `index`.
 int wait_in_force(ControllerClient& client, const Options& options, std::uint64_t index) {
-  const auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds(options.wait_s);
-  while (std::chrono::steady_clock::now() < give_up) {
-    const auto sites = client.ask("GET", "/v1/sites");
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(options.wait_s);
+  while (std::chrono::steady_clock::now() < deadline) {
+    const auto sites = client.send("GET", "/v1/sites");
     if (sites.has_value() && sites->status == kStatusOk &&
         sites->body["in_force_index"].is_number() &&
         sites->body["in_force_index"].get<std::uint64_t>() >= index) {
@@ -157,10 +160,11 @@
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
-  std::cerr << "accepted, but not in force everywhere after " << options.wait_s << " s\n";
+  std::cerr << "accepted, but not in force at every router after " << options.wait_s << " s\n";
   return kNotInForce;
 }
 
+/// Sends a declaration, or withdraws it if `document` is empty.
 int send_change(ControllerClient& client, const Options& options, DeclarationKind kind,
                 const std::string& name, const std::string& document) {
   const std::string path = resource(kind, name);
@@ -173,12 +177,12 @@
   if (!document.empty()) {
     body["declaration"] = json::parse(document);
   }
-  const auto answer = client.ask(document.empty() ? "DELETE" : "PUT", path, body);
+  const auto answer = client.send(document.empty() ? "DELETE" : "PUT", path, body);
   if (!answer.has_value()) {
     return print_error(options, answer.error(), kFailed);
   }
   if (answer->status != kStatusOk) {
-    return print_refusal(options, *answer);
+    return print_rejection(options, *answer);
   }
   json result = answer->body;
   result["name"] = name;
@@ -204,7 +208,7 @@
     files.push_back(*file);
   }
   if (files.size() > 1 && (options.replaces >= 0 || !options.change_id.empty())) {
-    std::cerr << "--replaces and --change-id go with one file\n";
+    std::cerr << "--replaces and --change-id require a single file\n";
     return kInvalid;
   }
   ControllerClient client = make_client(options);
@@ -224,15 +228,15 @@
   return send_change(client, options, kind, options.name, "");
 }
 
-/// Asks for one resource and prints it.
+/// Requests a resource and prints it.
 int show(const Options& options, const std::string& path, std::string (*format)(const json&)) {
   ControllerClient client = make_client(options);
-  const auto answer = client.ask("GET", path);
+  const auto answer = client.send("GET", path);
   if (!answer.has_value()) {
     return print_error(options, answer.error(), kFailed);
   }
   if (answer->status != kStatusOk) {
-    return print_refusal(options, *answer);
+    return print_rejection(options, *answer);
   }
   print(options, answer->body, format(answer->body));
   return kOk;
@@ -259,7 +263,7 @@
   if (options.kind == "assignments") {
     const auto slash = options.name.find('/');
     if (slash == std::string::npos) {
-      std::cerr << "assignments are named TENANT/SERVICE\n";
+      std::cerr << "the name of assignments must be TENANT/SERVICE\n";
       return kInvalid;
     }
     return show(options, "/v1/assignments/" + options.name, format_assignments);
@@ -274,7 +278,7 @@
   json all = {{"controllers", json::array()}};
   bool has_leader = false;
   for (const std::string& controller : client.controllers()) {
-    const auto status = client.ask_one(controller, "GET", "/v1/status");
+    const auto status = client.send_to(controller, "GET", "/v1/status");
     json item = {{"address", controller}, {"reachable", status.has_value()}};
     if (status.has_value()) {
       item.update(status->body);
@@ -285,9 +289,9 @@
     all["controllers"].push_back(item);
   }
   if (has_leader) {
-    const auto evacuations = client.ask("GET", "/v1/evacuations");
+    const auto evacuations = client.send("GET", "/v1/evacuations");
     all["evacuations"] = evacuations.has_value() ? evacuations->body : json();
-    const auto sites = client.ask("GET", "/v1/sites");
+    const auto sites = client.send("GET", "/v1/sites");
     all["sites"] = sites.has_value() ? sites->body : json();
   }
   std::string text;
@@ -321,28 +325,29 @@
   return has_leader ? kOk : kFailed;
 }
 
+/// Sends a POST request and prints the response, or `success_text` without --json.
 int post(const Options& options, const std::string& path, const json& body,
-         const std::string& done) {
+         const std::string& success_text) {
   ControllerClient client = make_client(options);
-  const auto answer = client.ask("POST", path, body);
+  const auto answer = client.send("POST", path, body);
   if (!answer.has_value()) {
     return print_error(options, answer.error(), kFailed);
   }
   if (answer->status != kStatusOk) {
-    return print_refusal(options, *answer);
+    return print_rejection(options, *answer);
   }
-  print(options, answer->body, done);
+  print(options, answer->body, success_text);
   return kOk;
 }
 
 int run_drain(const Options& options) {
   return post(options, "/v1/drain/" + options.machine, {{"draining", !options.undo}},
-              options.machine + (options.undo ? ": takes work again" : ": draining"));
+              options.machine + (options.undo ? ": accepts new work again" : ": draining"));
 }
 
 int run_evacuate(const Options& options) {
   return post(options, "/v1/evacuations/" + options.zone, {{"evacuated", !options.undo}},
-              options.zone + (options.undo ? ": taken back" : ": evacuated"));
+              options.zone + (options.undo ? ": evacuation ended" : ": evacuated"));
 }
 
 int run_move(const Options& options) {
@@ -351,15 +356,15 @@
                {"service", options.service},
                {"shard", options.shard},
                {"to", options.to}},
-              "move begun");
+              "move started");
 }
 
-/// Makes the cell of all configured controllers: each is told the same members.
+/// Creates the cell from all configured controllers; each receives the same member list.
 int create_cell(const Options& options) {
   ControllerClient client = make_client(options);
   json members = json::array();
   for (const std::string& controller : client.controllers()) {
-    const auto identity = client.ask_one(controller, "GET", "/v1/identity");
+    const auto identity = client.send_to(controller, "GET", "/v1/identity");
     if (!identity.has_value()) {
       return print_error(options, identity.error(), kFailed);
     }
@@ -369,12 +374,12 @@
                        {"operator_address", identity->body["operator_address"]}});
   }
   for (const std::string& controller : client.controllers()) {
-    const auto created = client.ask_one(controller, "POST", "/v1/cell", json{{"members", members}});
+    const auto created = client.send_to(controller, "POST", "/v1/cell", json{{"members", members}});
     if (!created.has_value()) {
       return print_error(options, created.error(), kFailed);
     }
     if (created->status != kStatusOk) {
-      return print_refusal(options, *created);
+      return print_rejection(options, *created);
     }
   }
   print(options, json{{"members", members}},
@@ -407,20 +412,20 @@
     return post(options, "/v1/members", {{"remove", options.remove}}, options.remove + ": removed");
   }
   ControllerClient client = make_client(options);
-  json best;
+  json selected;
   for (const std::string& controller : client.controllers()) {
-    const auto members = client.ask_one(controller, "GET", "/v1/members");
-    if (members.has_value() && (best.is_null() || members->body.value("is_leader", false))) {
-      best = members->body;
+    const auto members = client.send_to(controller, "GET", "/v1/members");
+    if (members.has_value() && (selected.is_null() || members->body.value("is_leader", false))) {
+      selected = members->body;
     }
   }
-  if (best.is_null()) {
+  if (selected.is_null()) {
     return print_error(
         options,
-        {planktray::common::ErrorCode::kUnavailable, "list members", "", "no controller answers"},
+        {planktray::common::ErrorCode::kUnavailable, "list members", "", "no controller responded"},
         kFailed);
   }
-  print(options, best, format_members(best));
+  print(options, selected, format_members(selected));
   return kOk;
 }
 
@@ -435,26 +440,27 @@
 
 int main(int argc, char** argv) {
   CLI::App app(
-      "planktray: operates a cell of controllers and its routers.\n\n"
-      "Exit codes: 0 done, 1 no controller could do it, 2 invalid input, 3 another change came\n"
-      "first, 4 accepted but not in force everywhere in time.");
+      "planktray: manages a cell of controllers and its routers.\n\n"
+      "Exit codes: 0 success, 1 no controller could process the request, 2 invalid input,\n"
+      "3 conflict with another change, 4 accepted but not in force at every router in time.");
   app.require_subcommand(1);
   app.fallthrough();
   Options options;
-  app.set_config("--settings", "", "Settings file; a flag of the same name wins");
+  app.set_config("--settings", "", "Settings file; a flag of the same name takes precedence");
   app.allow_config_extras(CLI::config_extras_mode::error);
-  app.add_option("--controllers", options.controllers, "Operator addresses, IP:port each")
+  app.add_option("--controllers", options.controllers,
+                 "Operator addresses of the controllers, each IP:port")
       ->delimiter(',')
       ->envname("PLANKTRAY_CONTROLLERS")
       ->check(planktray::transport::check_endpoint);
   app.add_flag("--json", options.as_json, "Print JSON");
-  app.add_option("--patience", options.patience_s, "Seconds to look for a leader")
+  app.add_option("--patience", options.patience_s, "Maximum time to find a leader, in seconds")
       ->check(CLI::Range(1, 3600));
 
-  auto* check = add_command(app, "check", "Check declaration files without a server",
+  auto* check = add_command(app, "check", "Validate declaration files without a server",
                             "planktray check deployments/zilina/*.toml");
   check->add_option("files", options.files, "TOML files")->required()->check(CLI::ExistingFile);
-  auto* apply = add_command(app, "apply", "Make declarations take effect",
+  auto* apply = add_command(app, "apply", "Apply declarations",
                             "planktray apply --wait template.toml tenant.toml");
   apply->add_option("files", options.files, "TOML files")->required()->check(CLI::ExistingFile);
   auto* withdraw = add_command(app, "withdraw", "Withdraw a tenant or template",
@@ -464,15 +470,18 @@
       ->check(CLI::IsMember({"tenant", "template"}));
   withdraw->add_option("name", options.name)->required();
   for (CLI::App* command : {apply, withdraw}) {
-    command->add_flag("--wait", options.wait, "Return once it is in force at every live router");
-    command->add_option("--wait-seconds", options.wait_s, "Longest wait")
+    command->add_flag("--wait", options.wait,
+                      "Wait until the change is in force at every live router");
+    command
+        ->add_option("--wait-seconds", options.wait_s, "Maximum wait time for --wait, in seconds")
         ->check(CLI::Range(1, 3600));
     command->add_option("--replaces", options.replaces, "Revision that the change replaces")
         ->check(CLI::NonNegativeNumber);
-    command->add_option("--change-id", options.change_id,
-                        "Identity of the change; a resend with it gets the first answer");
+    command->add_option(
+        "--change-id", options.change_id,
+        "Identity of the change; a resend with the same id gets the original response");
   }
-  auto* get = add_command(app, "get", "Show a declaration, or who owns which shard",
+  auto* get = add_command(app, "get", "Show a declaration or the owners of shards",
                           "planktray get assignments zilina/sledovanie");
   get->add_option("kind", options.kind)
       ->required()
@@ -480,24 +489,25 @@
   get->add_option("name", options.name)->required();
   add_command(app, "status", "Show controllers and routers", "planktray status");
   auto* drain =
-      add_command(app, "drain", "Give a machine no new work", "planktray drain sledovanie-3");
+      add_command(app, "drain", "Assign no new work to a machine", "planktray drain sledovanie-3");
   drain->add_option("machine", options.machine)->required();
-  drain->add_flag("--undo", options.undo, "Let it take work again");
-  auto* evacuate = add_command(app, "evacuate", "Keep all requests off the back ends of a zone",
+  drain->add_flag("--undo", options.undo, "Allow new work on the machine again");
+  auto* evacuate = add_command(app, "evacuate", "Stop requests to the back ends of a zone",
                                "planktray evacuate hala-a");
   evacuate->add_option("zone", options.zone)->required();
-  evacuate->add_flag("--undo", options.undo, "Take it back: its back ends get requests again");
+  evacuate->add_flag("--undo", options.undo,
+                     "End the evacuation; the back ends get requests again");
   auto* move = add_command(app, "move", "Move one shard to a machine",
                            "planktray move zilina sledovanie 17 sledovanie-3");
   move->add_option("tenant", options.tenant)->required();
   move->add_option("service", options.service)->required();
   move->add_option("shard", options.shard)->required();
   move->add_option("to", options.to)->required();
-  auto* members = add_command(app, "members", "Show, create or change the cell's members",
+  auto* members = add_command(app, "members", "Show, create or change the members of the cell",
                               "planktray members --create");
-  members->add_flag("--create", options.create, "Make the cell, once, of --controllers");
-  members->add_option("--add", options.add, "Let a controller of this name join");
-  members->add_option("--remove", options.remove, "Remove the controller of this name");
+  members->add_flag("--create", options.create, "Create the cell from --controllers (only once)");
+  members->add_option("--add", options.add, "Allow a controller with this name to join");
+  members->add_option("--remove", options.remove, "Remove the controller with this name");
 
   try {
     app.parse(argc, argv);
