--- a/src/cli/declaration_file.cpp
+++ b/src/cli/declaration_file.cpp
@@ -45,19 +45,21 @@
   std::ostringstream text;
   node.visit([&text](const auto& value) {
     if constexpr (toml::is_value<decltype(value)>) {
-      text << value.get();  // dates and times: no field takes them, so the check names the field
+      // Dates and times. No field accepts them, so validation reports the field.
+      text << value.get();
     }
   });
   return text.str();
 }
 
-/// Line of the field that an error message begins with, or of its nearest parent; 0 if unknown.
+/// Returns the line of the field that the error message starts with, or of its nearest parent; 0 if
+/// unknown.
 std::size_t line_of(const toml::table& root, const std::string& message) {
   const std::string field = message.substr(0, message.find(' '));
   const toml::node* node = &root;
   std::size_t line = 0;
-  static const std::regex kPart(R"(([^.\[\]]+)|\[(\d+)\])");
-  for (std::sregex_iterator it(field.begin(), field.end(), kPart), end; it != end; ++it) {
+  static const std::regex kPathSegment(R"(([^.\[\]]+)|\[(\d+)\])");
+  for (std::sregex_iterator it(field.begin(), field.end(), kPathSegment), end; it != end; ++it) {
     const toml::node* next = nullptr;
     if ((*it)[2].matched && node->is_array()) {
       next = node->as_array()->get(std::stoul((*it)[2].str()));
@@ -73,7 +75,7 @@
   return line;
 }
 
-std::string place(const std::string& path, std::size_t line) {
+std::string location(const std::string& path, std::size_t line) {
   return line == 0 ? path : path + ":" + std::to_string(line);
 }
 
@@ -84,7 +86,8 @@
   try {
     root = toml::parse_file(path);
   } catch (const toml::parse_error& error) {
-    return common::fail(common::ErrorCode::kInvalid, kStep, place(path, error.source().begin.line),
+    return common::fail(common::ErrorCode::kInvalid, kStep,
+                        location(path, error.source().begin.line),
                         std::string(error.description()));
   }
   DeclarationFile file;
@@ -95,7 +98,7 @@
       is_tenant ? ownership::DeclarationKind::kTenant : ownership::DeclarationKind::kTemplate;
   const auto failed = [&](const common::Error& error) {
     return common::fail(common::ErrorCode::kInvalid, kStep,
-                        place(path, line_of(root, error.message)), error.message);
+                        location(path, line_of(root, error.message)), error.message);
   };
   if (is_tenant) {
     const auto tenant = config::parse_tenant(file.json);
--- a/src/cli/declaration_file.hpp
+++ b/src/cli/declaration_file.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// Declarations as operators write them: TOML files with a template or a tenant each.
+/// Declaration files of operators: TOML files with one template or tenant each.
 
 #include <string>
 
@@ -8,14 +8,15 @@
 
 namespace planktray::cli {
 
+/// A validated declaration and its file.
 struct DeclarationFile {
   std::string path;
   ownership::DeclarationKind kind = ownership::DeclarationKind::kTemplate;
   std::string name;
-  std::string json;  ///< the document as controllers take it
+  std::string json;  ///< the document in the format of the controllers' HTTP interface
 };
 
-/// Reads and fully checks a file. Errors carry "file:line" as peer and name the field.
+/// Reads and validates a file. Errors contain "file:line" as the peer and the field in the message.
 common::Result<DeclarationFile> read_declaration_file(const std::string& path);
 
 }  // namespace planktray::cli
