--- a/test/transport/http_client_test.cpp
+++ b/test/transport/http_client_test.cpp
@@ -1,4 +1,4 @@
-/// The HTTP client against back ends that read, count and misbehave, for every method.
+/// Tests of the HTTP client against servers that count requests and fail in different ways.
 
 #include "transport/http_client.hpp"
 
@@ -16,19 +16,19 @@
 
 using std::chrono::milliseconds;
 
-/// How the server treats a request after it has read and counted it.
+/// What the server does after it has read and counted a request.
 enum class Behaviour : std::uint8_t {
   kAnswerOnceThenClose,
   kClose,
   kTruncate,
   kFreeze,
-  kCutChunk,        ///< a chunked answer without its last chunk
-  kUnstatedLength,  ///< an answer that ends with the connection
-  kUnstatedReset,   ///< the same, but the connection is reset
-  kSurplusLater,    ///< the first answer again in place of the second, then the second
-  kSurplusAtOnce,   ///< two answers to each request
-  kNonsense,        ///< bytes that are no answer
-  kResetAtOnce,     ///< a new connection is reset before anything is read
+  kMissingLastChunk,  ///< a chunked response without its last chunk, then close
+  kUnstatedLength,    ///< a response without a length that ends with the connection
+  kUnstatedReset,     ///< the same, but the connection is reset
+  kSurplusLater,      ///< from the second request on: the first response again, then the right one
+  kSurplusAtOnce,     ///< two responses to each request
+  kMalformed,         ///< bytes that are not an HTTP response
+  kResetAtOnce,       ///< a new connection is reset before anything is read
 };
 
 constexpr const char* kMark = "Request-Mark";
@@ -38,7 +38,7 @@
          "\r\nContent-Length: 2\r\n\r\nok";
 }
 
-/// A raw TCP server: reads a request to the end of its headers, counts it, and then misbehaves.
+/// A raw TCP server that reads and counts requests and then acts according to its `Behaviour`.
 class RawServer {
  public:
   explicit RawServer(Behaviour behaviour) : behaviour_(behaviour) {
@@ -95,7 +95,7 @@
       self->respond(connection);
     }
   }
-  /// What the server sends for the request it has just read; empty: nothing.
+  /// Returns the bytes to send for the request that was just read; empty: nothing is sent.
   std::string bytes_to_send() const {
     std::string chunk = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n";
     switch (behaviour_) {
@@ -103,7 +103,7 @@
         return requests_ == 1 ? answer_to(1) : "";
       case Behaviour::kTruncate:
         return "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\nok";
-      case Behaviour::kCutChunk:
+      case Behaviour::kMissingLastChunk:
         return chunk;
       case Behaviour::kUnstatedLength:
       case Behaviour::kUnstatedReset:
@@ -112,7 +112,7 @@
         return requests_ == 1 ? answer_to(1) : answer_to(1) + answer_to(requests_);
       case Behaviour::kSurplusAtOnce:
         return answer_to(requests_) + answer_to(requests_);
-      case Behaviour::kNonsense:
+      case Behaviour::kMalformed:
         return "\x01\x02 nonsense\r\n\r\n";
       case Behaviour::kClose:
       case Behaviour::kFreeze:
@@ -123,7 +123,7 @@
   }
   bool stays_open() const {
     return behaviour_ == Behaviour::kFreeze || behaviour_ == Behaviour::kSurplusLater ||
-           behaviour_ == Behaviour::kSurplusAtOnce || behaviour_ == Behaviour::kNonsense ||
+           behaviour_ == Behaviour::kSurplusAtOnce || behaviour_ == Behaviour::kMalformed ||
            (behaviour_ == Behaviour::kAnswerOnceThenClose && requests_ == 1);
   }
   void respond(GSocketConnection* connection) {
@@ -154,14 +154,14 @@
   HttpResponse result;
   client.send(request, [&](const HttpResponse& response) {
     result = response;
-    // Anything that a client sent by itself comes within this time.
+    // A request that the client wrongly sends again would arrive within this time.
     loop.after(milliseconds(50), [&loop] { loop.quit(); });
   });
   loop.run();
   return result;
 }
 
-HttpClientOptions options_of_four() {
+HttpClientOptions options_with_four_connections() {
   HttpClientOptions options;
   options.connections_per_server = 4;
   return options;
@@ -183,11 +183,11 @@
 const std::vector<std::string> kMethods = {"GET",    "HEAD",  "PUT",    "POST",
                                            "DELETE", "PATCH", "OPTIONS"};
 
-TEST_CASE("a request that was read and not answered reaches the server once, by every method") {
+TEST_CASE("a request that is read and not answered is sent only once, for every method") {
   for (const std::string& method : kMethods) {
     CAPTURE(method);
     RawServer server(Behaviour::kClose);
-    HttpClient client(options_of_four());
+    HttpClient client(options_with_four_connections());
     const HttpResponse response = send_and_wait(client, request_for(server, method));
     CHECK(server.requests() == 1);
     CHECK_FALSE(response.is_whole());
@@ -195,20 +195,20 @@
   }
 }
 
-TEST_CASE("a connection that is reset while it settles has carried nothing") {
+TEST_CASE("a request whose connection is reset during the settle time is reported as not sent") {
   RawServer server(Behaviour::kResetAtOnce);
-  HttpClient client(options_of_four());
+  HttpClient client(options_with_four_connections());
   HttpRequest request = request_for(server, "POST");
-  CHECK(send_and_wait(client, request).was_sent);  // nobody can tell
+  CHECK(send_and_wait(client, request).was_sent);  // the reset may have come after the request
   request.settle_time = milliseconds(100);
   const HttpResponse settled = send_and_wait(client, request);
   CHECK_FALSE(settled.was_sent);
   CHECK_FALSE(settled.is_whole());
 }
 
-TEST_CASE("a connection that settles carries its request once, one that was used does not wait") {
+TEST_CASE("the settle time delays a request on a new connection, not on a reused one") {
   RawServer server(Behaviour::kSurplusLater);
-  HttpClient client(options_of_four());
+  HttpClient client(options_with_four_connections());
   HttpRequest request = request_for(server, "POST");
   request.fresh_connection = false;
   request.settle_time = milliseconds(20);
@@ -218,9 +218,9 @@
   CHECK(server.connections() == 1);
 }
 
-TEST_CASE("each stage of a request is told once, in order, on new and on used connections") {
+TEST_CASE("each stage of a request is reported once, in order, on new and on reused connections") {
   RawServer server(Behaviour::kSurplusLater);
-  HttpClient client(options_of_four());
+  HttpClient client(options_with_four_connections());
   HttpRequest request = request_for(server, "POST");
   request.fresh_connection = false;
   request.settle_time = milliseconds(20);
@@ -238,9 +238,9 @@
   CHECK(stages_of() == Stages{SendStage::kBegun, SendStage::kWritten});
 }
 
-TEST_CASE("a request that is given up while its connection settles was not sent") {
+TEST_CASE("a request that times out during the settle time is reported as not sent") {
   RawServer server(Behaviour::kFreeze);
-  HttpClient client(options_of_four());
+  HttpClient client(options_with_four_connections());
   HttpRequest request = request_for(server, "POST");
   request.settle_time = milliseconds(500);
   request.timeout = milliseconds(50);
@@ -248,25 +248,26 @@
   CHECK(server.requests() == 0);
 }
 
-TEST_CASE("a connection that has rested for too long is not used") {
+TEST_CASE("a connection that has been idle for too long is not reused") {
   RawServer server(Behaviour::kSurplusLater);
-  HttpClient client(options_of_four());
+  HttpClient client(options_with_four_connections());
   HttpRequest request = request_for(server, "GET");
   request.fresh_connection = false;
   request.longest_rest = milliseconds(2000);
   CHECK(send_and_wait(client, request).is_whole());
-  CHECK(send_and_wait(client, request).is_whole());  // rested 50 ms
+  CHECK(send_and_wait(client, request).is_whole());  // idle for 50 ms
   CHECK(server.connections() == 1);
   request.longest_rest = milliseconds(5);
   CHECK(send_and_wait(client, request).is_whole());
   CHECK(server.connections() == 2);
 }
 
-TEST_CASE("the same after an answered request left a connection that could be used again") {
+TEST_CASE(
+    "a request is not retried after an answered one left a reusable connection, for every method") {
   for (const std::string& method : kMethods) {
     CAPTURE(method);
     RawServer server(Behaviour::kAnswerOnceThenClose);
-    HttpClient client(options_of_four());
+    HttpClient client(options_with_four_connections());
     HttpRequest first = request_for(server, "GET");
     first.fresh_connection = false;
     CHECK(send_and_wait(client, first).is_whole());
@@ -276,18 +277,18 @@
   }
 }
 
-TEST_CASE("a truncated answer is not whole") {
+TEST_CASE("a truncated response is not complete") {
   RawServer server(Behaviour::kTruncate);
-  HttpClient client(options_of_four());
+  HttpClient client(options_with_four_connections());
   const HttpResponse response = send_and_wait(client, request_for(server, "POST"));
   CHECK_FALSE(response.is_whole());
   CHECK(response.was_sent);
   CHECK(server.requests() == 1);
 }
 
-TEST_CASE("a frozen server is given up at the deadline, as maybe run") {
+TEST_CASE("a request to a frozen server times out and is reported as possibly sent") {
   RawServer server(Behaviour::kFreeze);
-  HttpClient client(options_of_four());
+  HttpClient client(options_with_four_connections());
   HttpRequest request = request_for(server, "POST");
   request.timeout = milliseconds(100);
   const HttpResponse response = send_and_wait(client, request);
@@ -296,8 +297,8 @@
   CHECK(response.error.code == common::ErrorCode::kTimeout);
 }
 
-TEST_CASE("where nobody listens nothing was sent") {
-  HttpClient client(options_of_four());
+TEST_CASE("a request to an address without a listener is reported as not sent") {
+  HttpClient client(options_with_four_connections());
   HttpRequest request;
   request.method = "POST";
   request.address = "127.0.0.1:1";
@@ -307,25 +308,25 @@
   CHECK_FALSE(response.was_sent);
 }
 
-TEST_CASE("a chunked answer without its last chunk is not whole") {
-  RawServer server(Behaviour::kCutChunk);
-  HttpClient client(options_of_four());
+TEST_CASE("a chunked response without its last chunk is not complete") {
+  RawServer server(Behaviour::kMissingLastChunk);
+  HttpClient client(options_with_four_connections());
   CHECK_FALSE(send_and_wait(client, request_for(server, "GET")).is_whole());
 }
 
-TEST_CASE("an answer without a length is whole when its connection closes, not when it is reset") {
+TEST_CASE("a response without a length is complete at a close of its connection, not at a reset") {
   RawServer closing(Behaviour::kUnstatedLength);
   RawServer resetting(Behaviour::kUnstatedReset);
-  HttpClient client(options_of_four());
+  HttpClient client(options_with_four_connections());
   const HttpResponse whole = send_and_wait(client, request_for(closing, "GET"));
   CHECK(whole.is_whole());
   CHECK(whole.text() == "part");
   CHECK_FALSE(send_and_wait(client, request_for(resetting, "GET")).is_whole());
 }
 
-TEST_CASE("bytes that form no answer end the call without one") {
-  RawServer server(Behaviour::kNonsense);
-  HttpClient client(options_of_four());
+TEST_CASE("bytes that are not an HTTP response fail the request") {
+  RawServer server(Behaviour::kMalformed);
+  HttpClient client(options_with_four_connections());
   const HttpResponse response = send_and_wait(client, request_for(server, "GET"));
   CHECK_FALSE(response.is_whole());
   CHECK(response.was_sent);
@@ -339,19 +340,19 @@
   return request;
 }
 
-TEST_CASE("a surplus answer in the place of the next one is read past") {
+TEST_CASE("a surplus response in the place of the next one is skipped") {
   RawServer server(Behaviour::kSurplusLater);
-  HttpClient client(options_of_four());
+  HttpClient client(options_with_four_connections());
   CHECK(send_and_wait(client, marked_request(server, 1)).header(kMark) == "1");
   const HttpResponse second = send_and_wait(client, marked_request(server, 2));
   CHECK(second.used_before);
   CHECK(second.header(kMark) == "2");
-  CHECK(client.connections() == 0);  // a connection with surplus bytes is not used again
+  CHECK(client.connections() == 0);  // a connection with surplus bytes is not reused
 }
 
-TEST_CASE("a connection with bytes behind the answer is not used again") {
+TEST_CASE("a connection with bytes after the response is not reused") {
   RawServer server(Behaviour::kSurplusAtOnce);
-  HttpClient client(options_of_four());
+  HttpClient client(options_with_four_connections());
   CHECK(send_and_wait(client, marked_request(server, 1)).is_whole());
   const HttpResponse second = send_and_wait(client, marked_request(server, 2));
   CHECK(second.header(kMark) == "2");
@@ -359,7 +360,7 @@
   CHECK(client.connections_opened() == 2);
 }
 
-TEST_CASE("a request beyond the connections of one server fails as not sent") {
+TEST_CASE("a request beyond the connection limit of a server fails as not sent") {
   RawServer server(Behaviour::kFreeze);
   HttpClientOptions options;
   options.connections_per_server = 1;
--- a/test/transport/http_server_test.cpp
+++ b/test/transport/http_server_test.cpp
@@ -18,7 +18,7 @@
 using std::chrono::milliseconds;
 
 constexpr const char* kAddress = "127.0.0.1:19873";
-/// Longer than what the sockets of both sides take at once.
+/// More than the socket buffers of both sides hold.
 constexpr std::size_t kLongAnswer = 32 * 1024 * 1024;
 
 HttpClientOptions long_answers() {
@@ -27,7 +27,7 @@
   return options;
 }
 
-TEST_CASE("an answer that is handed over is unfinished until it is written") {
+TEST_CASE("a response counts as unfinished until it is completely written") {
   std::unique_ptr<HttpServer> server;
   std::size_t after_respond = 0;
   auto listening = HttpServer::listen(
@@ -54,7 +54,7 @@
   CHECK(server->unfinished() == 0);
 }
 
-/// A client that writes raw bytes and collects what comes back.
+/// A client that writes raw bytes and collects the received bytes.
 class RawClient {
  public:
   explicit RawClient(const std::string& bytes) {
@@ -78,7 +78,7 @@
   bool ended_ = false;
 };
 
-/// A server that keeps its exchanges until the test answers them.
+/// A server that keeps its exchanges until the test responds to them.
 struct HeldServer {
   explicit HeldServer(HttpServerOptions options = options_with_body_limit(1024)) {
     auto listening = HttpServer::listen(kAddress, options, [this](ExchangePointer exchange) {
@@ -88,7 +88,8 @@
     REQUIRE(listening.has_value());
     server = std::move(*listening);
   }
-  /// Exchanges that are dropped while the server is there would be answered, and the next started.
+  /// Destroys the server first: exchanges dropped before would be answered and the next requests
+  /// started.
   ~HeldServer() { server.reset(); }
   HeldServer(const HeldServer&) = delete;
   HeldServer& operator=(const HeldServer&) = delete;
@@ -106,7 +107,7 @@
 
 constexpr milliseconds kShortly(30);
 
-TEST_CASE("a client that closes while its request waits is noticed") {
+TEST_CASE("a client that closes while its request is pending is detected") {
   HeldServer held;
   RawClient client("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
   run_for(kShortly);
@@ -117,7 +118,7 @@
   CHECK(held.gone == 1);
 }
 
-TEST_CASE("method, target and body reach the handler as they were sent") {
+TEST_CASE("method, target and body reach the handler unchanged") {
   HeldServer held;
   RawClient client(
       "POST /a/%7e/..//b;c?x=%zz&y=a+b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -129,7 +130,7 @@
   CHECK(held.exchanges[0]->body() == "abcde");
 }
 
-TEST_CASE("requests that come at once are handed out one after the other") {
+TEST_CASE("pipelined requests are passed to the handler one after the other by default") {
   HeldServer held;
   RawClient client("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   run_for(kShortly);
@@ -141,7 +142,7 @@
   CHECK(client.received().find("one") != std::string::npos);
 }
 
-TEST_CASE("a request with two lengths is refused, so that none hides inside another") {
+TEST_CASE("a request with two lengths is rejected, which prevents request smuggling") {
   HeldServer held;
   RawClient client(
       "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -153,7 +154,7 @@
   CHECK(held.server->refused() == 1);
 }
 
-TEST_CASE("too long headers and bodies are refused by their own statuses") {
+TEST_CASE("too large headers and bodies are rejected with status 431 and 413") {
   HttpServerOptions options = options_with_body_limit(16);
   options.limits.header_bytes = 256;
   HeldServer held(options);
@@ -165,7 +166,7 @@
   CHECK(held.exchanges.empty());
 }
 
-TEST_CASE("the end of a connection is announced in its last answer") {
+TEST_CASE("the last response of a connection announces its close") {
   HeldServer held;
   RawClient client("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
   run_for(kShortly);
@@ -177,11 +178,11 @@
   CHECK(client.ended());
 }
 
-TEST_CASE("a request that has come but was not read is answered by a server that stops") {
+TEST_CASE("a stopping server answers a request that has arrived but was not read") {
   HeldServer held;
   const RawClient connected("");
   run_for(kShortly);
-  // Both are with the server's system, and its loop has seen neither.
+  // Connection and request are in the kernel; the server's loop has processed neither.
   const auto send_all = [](const Endpoint& to, const char* bytes) {
     GSocket* socket =
         g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, nullptr);
@@ -223,7 +224,7 @@
   CHECK(held.server->unfinished() == 1);
 }
 
-// ---------------------------------------------------------------- requests sent on without waiting
+// ---------------------------------------------------------------- pipelined requests
 
 std::string get(const std::string& path, const std::string& headers = "") {
   return "GET " + path + " HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n";
@@ -233,7 +234,7 @@
   return "POST " + path + " HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n";
 }
 
-/// A server whose routes say that GET may be repeated.
+/// A server whose classifier allows GET requests to run concurrently.
 struct SideBySideServer : HeldServer {
   explicit SideBySideServer(HttpServerOptions options = options_with_body_limit(1024))
       : HeldServer(options) {
@@ -244,7 +245,7 @@
   }
 };
 
-/// The bodies of the answers, in the order in which they came.
+/// Returns the bodies of the responses in the order of arrival.
 std::string bodies(const std::string& received) {
   std::string all;
   for (auto at = received.find('<'); at != std::string::npos; at = received.find('<', at + 1)) {
@@ -253,7 +254,7 @@
   return all;
 }
 
-TEST_CASE("answers leave in the order of their requests, in whatever order they are ready") {
+TEST_CASE("responses are sent in the order of their requests, in whatever order they are ready") {
   std::vector<std::size_t> order = {0, 1, 2};
   do {
     SideBySideServer held;
@@ -272,7 +273,7 @@
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-TEST_CASE("an answer that is ready leaves at once when those before it have left") {
+TEST_CASE("a response that is ready is sent as soon as those before it are sent") {
   SideBySideServer held;
   const RawClient client(get("/1") + get("/2") + get("/3"));
   run_for(kShortly);
@@ -285,7 +286,7 @@
   CHECK(bodies(client.received()) == "</1></2>");
 }
 
-TEST_CASE("a request that may run once waits for those before it, and those behind wait for it") {
+TEST_CASE("a request that must run alone waits for those before it and delays those after it") {
   SideBySideServer held;
   const RawClient client(get("/1") + get("/2") + post("/once") + get("/4"));
   run_for(kShortly);
@@ -305,11 +306,11 @@
   CHECK(bodies(client.received()) == "</1></2></once></4>");
 }
 
-TEST_CASE("over its bound of requests a connection is not read, and not cut") {
+TEST_CASE("a connection at its limit of requests is not read and not closed") {
   HttpServerOptions options = options_with_body_limit(1024);
   options.requests_side_by_side = 3;
   SideBySideServer held(options);
-  constexpr std::size_t kAll = 20'000;  // more than a read, and more than was ever kept for later
+  constexpr std::size_t kAll = 20'000;  // more than one read and than the bytes that are buffered
   std::string all;
   for (std::size_t i = 0; i < kAll; ++i) {
     all += get("/x");
@@ -330,11 +331,12 @@
   CHECK(bodies(client.received()).size() == kAll * std::strlen("</x>"));
 }
 
-TEST_CASE("a client that leaves is noticed while its connection is not read") {
+TEST_CASE("a client that disconnects is detected while its connection is not read") {
   HttpServerOptions options = options_with_body_limit(1024);
   options.requests_side_by_side = 2;
   SideBySideServer held(options);
-  // More than a read, and no more than the system's buffers hold: the client's end comes behind it.
+  // More than one read but less than the kernel's buffers hold, so that the client's close is
+  // received behind it.
   std::string all;
   while (all.size() < std::size_t{32} * 1024) {
     all += get("/x");
@@ -348,7 +350,7 @@
   CHECK(held.server->connections() == 0);
 }
 
-TEST_CASE("answers that wait for a slow one are bounded: nothing else is started") {
+TEST_CASE("no request is started while responses that wait for a slow one exceed their limit") {
   HttpServerOptions options = options_with_body_limit(1024);
   options.held_answer_bytes = 1000;
   SideBySideServer held(options);
@@ -364,7 +366,7 @@
   CHECK(held.exchanges.size() == 3);
 }
 
-TEST_CASE("a client that does not read its answers gets nothing else started") {
+TEST_CASE("no request is started while the client does not read its responses") {
   SideBySideServer held(options_with_body_limit(1024));
   auto connected = parse_endpoint(kAddress);
   REQUIRE(connected.has_value());
@@ -388,7 +390,7 @@
   CHECK(held.server->connections() == 0);
 }
 
-TEST_CASE("nothing behind an answer that closes the connection runs or is answered") {
+TEST_CASE("no request after a response that closes the connection is run or answered") {
   SideBySideServer held;
   const RawClient client(get("/1") + get("/2", "Connection: close\r\n") + get("/3") + post("/4"));
   run_for(kShortly);
@@ -402,7 +404,7 @@
   CHECK(held.server->unfinished() == 0);
 }
 
-TEST_CASE("a request that cannot be read is refused in its turn") {
+TEST_CASE("a malformed request is rejected after the responses before it") {
   SideBySideServer held;
   const RawClient client(get("/1") + "nonsense\r\n\r\n" + get("/3"));
   run_for(kShortly);
@@ -416,7 +418,7 @@
   CHECK(client.ended());
 }
 
-TEST_CASE("a client that leaves cancels all its requests") {
+TEST_CASE("a client that disconnects cancels all its requests") {
   SideBySideServer held;
   RawClient client(get("/1") + get("/2") + get("/3"));
   run_for(kShortly);
@@ -427,7 +429,7 @@
   CHECK(held.gone == 2);
 }
 
-TEST_CASE("a stop with three requests under way answers all three, and closes with the last") {
+TEST_CASE("a stopping server answers three requests in flight and closes with the last") {
   SideBySideServer held;
   RawClient client(get("/1") + get("/2") + get("/3") + post("/4"));
   run_for(kShortly);
@@ -447,7 +449,7 @@
   CHECK(client.ended());
 }
 
-TEST_CASE("the answer to an expectation does not overtake answers") {
+TEST_CASE("100 Continue does not overtake responses") {
   SideBySideServer held;
   RawClient client(get("/1") +
                    "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n"
--- a/test/transport/reach_check_test.cpp
+++ b/test/transport/reach_check_test.cpp
@@ -1,4 +1,4 @@
-/// Whether anybody listens at an address, over real sockets.
+/// Reachability checks over real sockets.
 
 #include "transport/reach_check.hpp"
 
@@ -24,12 +24,12 @@
     reach = found;
     loop.quit();
   });
-  CHECK_FALSE(reach.has_value());  // never within the call
+  CHECK_FALSE(reach.has_value());  // check() never calls back directly
   loop.run();
   return reach.value();
 }
 
-TEST_CASE("an address where somebody listens is told from one where nobody does") {
+TEST_CASE("an address with a listener is distinguished from one without") {
   CHECK(reach_of(kAddress) == Reach::kRefused);
   {
     const auto server =
@@ -42,7 +42,7 @@
   CHECK(reach_of("nowhere") == Reach::kUnknown);
 }
 
-TEST_CASE("a checker that ends calls nobody back") {
+TEST_CASE("a destroyed checker does not call back") {
   EventLoop loop;
   bool called = false;
   {
