--- a/test/transport/decoders_test.cpp
+++ b/test/transport/decoders_test.cpp
@@ -1,5 +1,5 @@
-/// Generated cases for every decoder of bytes from outside: a typed error or a value, never a
-/// crash, and what was encoded comes back.
+/// Property tests of the decoders of external input: each input yields a value or a typed error,
+/// never a crash, and encoded messages decode to the same message.
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -13,7 +13,7 @@
 namespace planktray::transport {
 namespace {
 
-/// Flips, cuts or lengthens valid bytes at a generated place.
+/// Returns valid bytes with one byte replaced, truncated at a generated position, or extended.
 std::string damaged(std::string bytes) {
   const auto place = *rc::gen::inRange<std::size_t>(0, bytes.size());
   switch (*rc::gen::inRange(0, 3)) {
@@ -36,7 +36,7 @@
   return hello;
 }
 
-TEST_CASE("a message comes back as it was sent") {
+TEST_CASE("an encoded message decodes to the same message") {
   rc::check([] {
     const WireMessage message = generated_message();
     const auto decoded = decode_wire(kProtocolVersion, encode_wire(message), "peer");
@@ -45,7 +45,7 @@
   });
 }
 
-TEST_CASE("another protocol version is refused by step and peer") {
+TEST_CASE("another protocol version is rejected with step and peer") {
   const auto decoded = decode_wire("planktray/0", encode_wire(routing::RouterHello()), "peer-1");
   REQUIRE_FALSE(decoded.has_value());
   CHECK(decoded.error().peer == "peer-1");
@@ -65,8 +65,8 @@
   });
 }
 
-TEST_CASE("a claimed length reserves no memory") {
-  // An array of 2^32 - 1 elements in five bytes; the sanitizer build failed on this with 137 GB.
+TEST_CASE("a declared array length allocates no memory") {
+  // Header of an array of 2^32 - 1 elements; a decoder that trusts it allocates 137 GB.
   const std::string claim("\xdd\xff\xff\xff\xff", 5);
   const auto decoded = decode_wire(kProtocolVersion, claim, "peer-1");
   REQUIRE_FALSE(decoded.has_value());
@@ -74,7 +74,7 @@
   CHECK(decoded.error().message.find("bad_alloc") == std::string::npos);
 }
 
-TEST_CASE("damaged JSON is refused with step and peer") {
+TEST_CASE("damaged JSON is rejected with step and peer") {
   const std::string lease = to_json(ownership::LeaseRequest());
   const std::string reply = to_json(ownership::LeaseReply());
   rc::check([&] {
@@ -90,7 +90,7 @@
   });
 }
 
-TEST_CASE("a lease request with an absurd range of shards is refused") {
+TEST_CASE("a lease request with an invalid range of shards is rejected") {
   ownership::LeaseRequest request;
   request.has_grants = true;
   request.grants = {{{common::TenantName("t"), common::ServiceName("s")},
--- a/test/transport/fair_turns_test.cpp
+++ b/test/transport/fair_turns_test.cpp
@@ -1,10 +1,9 @@
-/// Turns of the main loop under load.
+/// Fairness between the sources of the main loop under load.
 ///
-/// Seen at a leader with 281 routers, when 70 back ends were replaced at once: turns of its loop
-/// took 270 ms, each of them handled events of 16 connections, and 256 messages of other processes.
-/// The 24 grants under way waited for their turns, 3 went out in a second in place of 300, and an
-/// operator's change waited for 13 s. Keys lay without an owner, and routes to them were not
-/// served.
+/// Guards against loop iterations (turns) that are limited by event counts instead of time. When 70
+/// back ends of a leader with 281 routers were replaced at once, turns with up to 16 connections
+/// and 256 messages took 270 ms. The 24 grants in flight were delayed: 3 instead of 300 grants per
+/// second were sent, an operator's change took 13 s, and keys without an owner were not served.
 
 #include <doctest/doctest.h>
 #include <glib.h>
@@ -23,7 +22,7 @@
 namespace planktray::transport {
 namespace {
 
-TEST_CASE("a turn of the main loop serves many connections where each takes little time") {
+TEST_CASE("a turn of the main loop serves many connections if each takes little time") {
   constexpr std::size_t kConnections = 200;
   std::vector<std::array<int, 2>> pairs(kConnections);
   std::vector<std::unique_ptr<DescriptorWatch>> watches(kConnections);
@@ -52,7 +51,7 @@
   }
 }
 
-TEST_CASE("a turn of the main loop ends though messages of other processes wait") {
+TEST_CASE("a turn of the main loop ends while messages of other processes are waiting") {
   constexpr int kMessages = 100;
   constexpr const char* kAddress = "127.0.0.1:47431";
   zmq::context_t context;
--- a/test/transport/line_output_test.cpp
+++ b/test/transport/line_output_test.cpp
@@ -1,5 +1,5 @@
-/// A process whose reader has stopped reading goes on. Before, the next line waited for the reader,
-/// and the whole process with it: a leader so lost its lead.
+/// A process continues when the reader of its log pipe stops reading. A blocking write would stop
+/// the whole process, and a leader would lose its leadership.
 
 #include "transport/line_output.hpp"
 
@@ -34,10 +34,11 @@
   }
 };
 
-TEST_CASE("a reader that stops reading holds nobody up, and is told what it missed") {
+TEST_CASE(
+    "a reader that stops reading does not block the writer and gets the number of lost lines") {
   const Pipe pipe;
   LineOutput output(pipe.ends[1]);
-  constexpr int kLines = 20'000;  // far more than a pipe holds
+  constexpr int kLines = 20'000;  // far more than the capacity of a pipe
   int written = 0;
   for (int i = 0; i < kLines; ++i) {
     written += output.write("event=something number=" + std::to_string(i) + "\n") ? 1 : 0;
@@ -54,7 +55,7 @@
         "event=log_lines_lost count=" + std::to_string(kLines - written) + "\nevent=later\n");
 }
 
-TEST_CASE("a line longer than a pipe takes at once is cut, and ends as a line") {
+TEST_CASE("a line longer than an atomic pipe write is truncated and keeps its line end") {
   const Pipe pipe;
   LineOutput output(pipe.ends[1]);
   CHECK(output.write(std::string(100'000, 'x') + "\n"));
--- a/test/transport/link_pacer_test.cpp
+++ b/test/transport/link_pacer_test.cpp
@@ -15,10 +15,10 @@
 using std::chrono::milliseconds;
 
 constexpr const char* kAddress = "127.0.0.1:19874";
-constexpr double kSlowLink = 4.1e6 / 8;  // bytes a second
+constexpr double kSlowLink = 4.1e6 / 8;  // bytes per second
 constexpr std::size_t kStatement = 90'000;
 
-/// Bytes that show where one is lost or out of place.
+/// Returns a body in which a lost or misplaced byte is detected.
 std::string patterned(std::size_t bytes) {
   std::string body(bytes, ' ');
   for (std::size_t i = 0; i < bytes; ++i) {
@@ -47,7 +47,7 @@
   return request;
 }
 
-TEST_CASE("a large answer is written at the link's pace, and small ones pass it") {
+TEST_CASE("a large response is written at the link's rate, and small ones overtake it") {
   LinkPacer pacer(kSlowLink);
   auto server = HttpServer::listen(kAddress, paced_server(pacer), [](const ExchangePointer& it) {
     it->respond_text(200, "text/plain", it->path() == "/large" ? patterned(kStatement) : "ok");
@@ -73,14 +73,14 @@
   loop.run();
   const common::TimePoint end = boot_time_now();
   CHECK(large.text() == patterned(kStatement));
-  CHECK(end - start >= milliseconds(150));  // 176 ms of the link, less what may pass at once
+  CHECK(end - start >= milliseconds(150));  // 176 ms at the link's rate, less the initial burst
   CHECK(small_at > start);
   CHECK(small_at < end);
   CHECK(pacer.outbound().scheduler().waiting() == 0);
   CHECK(pacer.outbound().scheduler().bytes_passed() >= kStatement);
 }
 
-TEST_CASE("a large request is read at the link's pace and comes whole") {
+TEST_CASE("a large request is read at the link's rate and arrives complete") {
   LinkPacer pacer(kSlowLink);
   std::string read;
   auto server = HttpServer::listen(kAddress, paced_server(pacer), [&](const ExchangePointer& it) {
@@ -97,11 +97,11 @@
   });
   loop.run();
   CHECK(read == patterned(kStatement));
-  CHECK(boot_time_now() - start >= milliseconds(100));  // less a first read that is not held back
+  CHECK(boot_time_now() - start >= milliseconds(100));  // less the first read, which is not paced
   CHECK(pacer.inbound().scheduler().waiting() == 0);
 }
 
-TEST_CASE("a large answer of a back end is read at the link's pace, also where its server closes") {
+TEST_CASE("a large response is read at the link's rate, also if its server closes the connection") {
   LinkPacer pacer(kSlowLink);
   auto server =
       HttpServer::listen(kAddress, options_with_body_limit(1024), [](const ExchangePointer& it) {
@@ -124,8 +124,8 @@
 }
 
 TEST_CASE(
-    "a client that leaves while its upload is held back is noticed, and its bytes given back") {
-  constexpr double kCrawl = 2000;  // bytes a second: the upload would take a minute
+    "a client that disconnects during its paced upload is detected, and its body is removed") {
+  constexpr double kCrawl = 2000;  // bytes per second: the upload would take 45 s
   LinkPacer pacer(kCrawl);
   bool handled = false;
   auto server = HttpServer::listen(kAddress, paced_server(pacer), [&](const ExchangePointer& it) {
@@ -152,7 +152,7 @@
   CHECK((*server)->connections() == 0);
 }
 
-TEST_CASE("a large request that is held is written no further until it is resumed") {
+TEST_CASE("no further bytes of a held large request are written until it is resumed") {
   std::string received;
   auto server = HttpServer::listen(kAddress, options_with_body_limit(1024 * 1024),
                                    [&received](const ExchangePointer& it) {
@@ -173,7 +173,7 @@
           written = boot_time_now();
         }
       });
-  constexpr auto kBegun = milliseconds(50);  // a quarter of its time at this pace
+  constexpr auto kBegun = milliseconds(50);  // about a quarter of the transfer time at this rate
   constexpr auto kHeld = milliseconds(500);
   const common::TimePoint start = boot_time_now();
   loop.after(kBegun, [&] {
@@ -191,7 +191,7 @@
   CHECK(received == patterned(kStatement));
 }
 
-TEST_CASE("a client that leaves while its large answer is written is noticed") {
+TEST_CASE("a client that disconnects while its large response is written is detected") {
   constexpr double kCrawl = 2000;
   LinkPacer pacer(kCrawl);
   auto server = HttpServer::listen(kAddress, paced_server(pacer), [](const ExchangePointer& it) {
--- a/test/transport/suspension_watch_test.cpp
+++ b/test/transport/suspension_watch_test.cpp
@@ -1,4 +1,4 @@
-/// Suspensions of the machine, as both clocks show them.
+/// Detection of machine suspensions from the boot clock and the steady clock.
 
 #include "transport/suspension_watch.hpp"
 
@@ -13,7 +13,7 @@
   return {milliseconds(boot_ms), milliseconds(steady_ms)};
 }
 
-// Guards against an outage of seconds that no log tells from a slow process.
+// Guards against an outage of seconds that the log does not distinguish from a slow process.
 TEST_CASE("time that only the boot clock counts is a suspension") {
   SuspensionWatch watch;
   CHECK_FALSE(watch.observe(reading(500'000, 20'000)).has_value());
@@ -24,14 +24,15 @@
   CHECK_FALSE(watch.observe(reading(504'300, 20'300)).has_value());
 }
 
-TEST_CASE("a process that was stopped or had no processor was not suspended") {
+TEST_CASE("a stopped process or one without processor time does not count as suspended") {
   SuspensionWatch watch;
   CHECK_FALSE(watch.observe(reading(1000, 1000)).has_value());
   CHECK_FALSE(watch.observe(reading(9000, 9000)).has_value());
-  CHECK_FALSE(watch.observe(reading(9100, 9060)).has_value());  // between the two readings
+  CHECK_FALSE(watch.observe(reading(9100, 9060))
+                  .has_value());  // within the tolerance for the time between the two readings
 }
 
-TEST_CASE("each of several suspensions is told") {
+TEST_CASE("each of several suspensions is reported") {
   SuspensionWatch watch;
   watch.observe(reading(1000, 1000));
   CHECK(watch.observe(reading(3000, 1100)) == milliseconds(1900));
