--- a/test/platform/soak/clients.cpp
+++ b/test/platform/soak/clients.cpp
@@ -13,19 +13,19 @@
 using transport::boot_time_now;
 
 constexpr Duration kAnswerTimeout = std::chrono::milliseconds(4000);
-/// Arrivals read this soon after a stall of this process may have come earlier.
+/// Arrivals read within this time after a stall of this process may have arrived earlier.
 constexpr Duration kAfterStall = std::chrono::milliseconds(200);
-/// Connections to all routers together, and to each.
+/// Limits of the connections to all routers together and to each router.
 constexpr std::size_t kMostConnections = 4000;
 constexpr std::size_t kFewestConnections = 4;
 constexpr std::size_t kMostAtOne = 64;
 constexpr double kUnsafeShare = 0.2;
 constexpr double kChangingShare = 0.5;
-/// Pipelines draw from a source of their own: what else a seed does is the same with and without.
+/// Pipelines use a separate random engine, so they don't change the other draws of a seed.
 constexpr std::uint64_t kPipelineSeed = 1'000'000;
-/// Pipelines for each other request.
+/// Probability of a pipeline for each other request.
 constexpr double kPipelineShare = 0.02;
-/// More than a router works on at once for one connection.
+/// Exceeds the number of requests that a router processes concurrently for one connection.
 constexpr int kPipelineLength = 12;
 
 bool is_promise(unsigned status) {
@@ -60,7 +60,7 @@
       send_pipeline(now, router);
     }
     if (!routes.empty() && common::chance(random_, kChangingShare)) {
-      // Mostly the newest ones: what has just come, and what has just gone.
+      // Uses the newest routes: these were recently added or removed.
       constexpr std::size_t kNewest = 30;
       const std::size_t first = routes.size() > kNewest ? routes.size() - kNewest : 0;
       const std::size_t chosen = common::uniform(random_, first, routes.size() - 1);
@@ -193,7 +193,7 @@
                         const transport::HttpResponse& response) {
   const Process& router = processes_.all()[request.router];
   const bool is_same = router.pid == request.router_pid && router.pid > 0;
-  // A connection that was kept may have been closed while the request was on its way.
+  // A reused connection may have been closed while the request was in flight.
   const bool is_cut = !response.is_whole() && response.was_sent && !response.used_before;
   if (is_cut && is_same && router.terminating && !router.paused) {
     violate("LOST", id, request, "cut beside a planned stop: " + response.error.message);
--- a/test/platform/soak/clients.hpp
+++ b/test/platform/soak/clients.hpp
@@ -1,7 +1,7 @@
 #pragma once
-/// The clients of the soak, who keep their connections, and the judge of what they and the targets
-/// see. A promise bound by time is judged only for routers without trouble of their own for the
-/// promised quiet time; everything else always.
+/// The clients of the soak test, which use persistent connections, and the checks of the responses
+/// to clients and of the arrivals at targets. Time bounds are checked only for routers that had no
+/// injected fault during the guaranteed quiet time; all other guarantees are always checked.
 
 #include <functional>
 #include <map>
@@ -20,13 +20,13 @@
 struct ClientCounts {
   std::uint64_t sent = 0;
   std::uint64_t served = 0;
-  std::uint64_t refused = 0;       ///< with the promise that it has not run
-  std::uint64_t not_there = 0;     ///< no such route
-  std::uint64_t other = 0;         ///< other failures, or no answer
-  std::uint64_t judged_added = 0;  ///< requests on routes that had to be in force
-  std::uint64_t judged_removed = 0;
-  std::uint64_t pipelined = 0;       ///< sent on behind another without waiting for its answer
-  std::uint64_t judged_leaving = 0;  ///< arrivals at targets that had been acknowledged as leaving
+  std::uint64_t refused = 0;         ///< with the guarantee that the request was not executed
+  std::uint64_t not_there = 0;       ///< no such route
+  std::uint64_t other = 0;           ///< other failures, or no response
+  std::uint64_t judged_added = 0;    ///< requests checked against a route that had to be in force
+  std::uint64_t judged_removed = 0;  ///< requests checked against a route that had to be gone
+  std::uint64_t pipelined = 0;       ///< sent without waiting for the previous response
+  std::uint64_t judged_leaving = 0;  ///< checked arrivals at draining targets (acknowledged)
 };
 
 class Clients {
@@ -34,15 +34,16 @@
   Clients(const Processes& processes, const Operator& changes, Promises promises,
           std::uint64_t seed);
 
-  /// Sends `count` requests to routers at random.
+  /// Sends `count` requests, each to a random router.
   void send(TimePoint now, int count);
-  /// Asks every router for one path. @param done gets the number that served it.
+  /// Requests one path from every router. @param done receives the number of routers that served
+  /// it.
   void ask_all(const std::string& path, const std::function<void(std::size_t served)>& done);
   void on_arrival(const Arrival& arrival);
-  /// This process did not look at its sockets between `from` and `to`: arrivals then count as they
-  /// were read, which may be late.
+  /// Reports that this process was stalled and did not read its sockets until `to`. Arrivals carry
+  /// the time at which they were read, which may be late after a stall.
   void on_stall(TimePoint to) { stalled_until_ = to; }
-  /// Judges what can only be judged at the end.
+  /// Runs the checks that need the complete run.
   void judge_end();
 
   const ClientCounts& counts() const { return counts_; }
@@ -54,16 +55,16 @@
     pid_t router_pid = 0;
     std::string path;
     bool safe = true;
-    std::optional<std::size_t> route;  ///< of those that change; else one that always holds
+    std::optional<std::size_t> route;  ///< index of a changing route; empty: a permanent route
     TimePoint sent;
-    bool was_promised = false;  ///< it was told that it has not run
+    bool was_promised = false;  ///< the response guarantees that it was not executed
     int runs = 0;
   };
 
   void send_one(TimePoint now, std::size_t router, const std::string& path, bool safe,
                 std::optional<std::size_t> route, const std::function<void(unsigned)>& done);
-  /// Sends several requests on one connection at once: safe ones, and now and then one that may run
-  /// once among them.
+  /// Sends several pipelined requests on one connection: mostly safe ones, mixed with unsafe ones
+  /// that may be executed only once.
   void send_pipeline(TimePoint now, std::size_t router);
   std::string remember(TimePoint now, std::size_t router, const std::string& path, bool safe,
                        std::optional<std::size_t> route);
@@ -71,8 +72,8 @@
   void judge_route(const std::string& id, const Request& request, unsigned status);
   void judge_cut(const std::string& id, const Request& request,
                  const transport::HttpResponse& response);
-  /// The time after an acknowledgement in which a change must be in force at this router; nothing
-  /// where it need not be by any time.
+  /// Returns how long after its acknowledgement a change must be in force at this router, or
+  /// nothing if no bound applies.
   std::optional<Duration> bound(const Process& router, TimePoint since, TimePoint now) const;
   void violate(const std::string& rule, const std::string& id, const Request& request,
                const std::string& what);
--- a/test/platform/soak/main.cpp
+++ b/test/platform/soak/main.cpp
@@ -1,7 +1,7 @@
-/// planktray-soak: runs the real programs as separate processes on loopback addresses, hurts them
-/// by signals in overlapping series while clients, targets and an operator go on, and judges what
-/// these see. Exits 1 where a promise was broken. A seed draws the same troubles again; what they
-/// meet in processes that run for real differs from run to run.
+/// planktray-soak: runs the real programs as separate processes on loopback addresses, injects
+/// overlapping faults by signals while clients, targets and an operator keep working, and checks
+/// the results that these observe. Exits with status 1 if a guarantee was violated. A seed
+/// reproduces the sequence of faults, but not the timing of the processes.
 
 #include <CLI/CLI.hpp>
 #include <csignal>
@@ -21,11 +21,11 @@
 using transport::boot_time_now;
 
 constexpr Duration kTick = milliseconds(10);
-/// A tick this late means that this process was held up, and saw its sockets late.
+/// A tick delayed by more than this means that this process stalled and read its sockets late.
 constexpr Duration kStall = milliseconds(150);
 constexpr Duration kStartTimeout = milliseconds(20'000);
-/// After the last trouble everything is given this long before it has to hold; then this long more
-/// until every router serves.
+/// Time without faults before recovery is checked, and the time limit after that for every router
+/// to serve.
 constexpr Duration kCalm = milliseconds(6'000);
 constexpr Duration kRecovery = milliseconds(20'000);
 
@@ -53,7 +53,7 @@
         targets_(processes_.network(), options.size.targets, control_addresses(), seed + 3,
                  [this](const Arrival& arrival) { clients_.on_arrival(arrival); }) {}
 
-  /// @return the promises that were broken.
+  /// @return the violated guarantees.
   std::vector<std::string> run() {
     if (auto started = targets_.start(); !started) {
       return {"the targets did not start: " + started.error().describe()};
@@ -87,7 +87,7 @@
   struct Restart {
     std::size_t process;
     TimePoint when;
-    int signal;  ///< 0: start it again
+    int signal;  ///< 0: restart the process
   };
 
   std::vector<std::string> control_addresses() const {
@@ -149,7 +149,7 @@
     }
   }
 
-  /// Asks all routers; goes on once every one of them has served.
+  /// Requests `path` from all routers; calls `then` if every router served it.
   void ask_all(const std::string& path, const std::function<void()>& then) {
     is_asking_ = true;
     clients_.ask_all(path, [this, then](std::size_t served) {
@@ -262,7 +262,7 @@
         ++next;
         continue;
       } else {
-        ++next;  // killed, and not reaped yet
+        ++next;  // killed but not reaped yet
         continue;
       }
       next = restarts_.erase(next);
--- a/test/platform/soak/operator.cpp
+++ b/test/platform/soak/operator.cpp
@@ -16,7 +16,7 @@
 constexpr common::Duration kChangeInterval = std::chrono::milliseconds(150);
 constexpr common::Duration kAnswerTimeout = std::chrono::milliseconds(1000);
 constexpr common::Duration kPause = std::chrono::milliseconds(50);
-/// Added routes in force at once.
+/// Maximum number of changing routes in force at the same time.
 constexpr std::size_t kMostRoutes = 12;
 
 json route(const std::string& name, const std::string& path, const std::string& service,
@@ -128,7 +128,7 @@
     return;
   }
   if (response.status >= 400 && response.status < 500) {
-    // The only operator builds on the newest version: no refusal is right.
+    // This is the only operator and it builds on the newest version: any refusal is a violation.
     violations_.push_back("CONFIG version " + std::to_string(change.version) + " on " +
                           std::to_string(version_) + " was refused with " +
                           std::to_string(response.status) + " " + response.body);
--- a/test/platform/soak/operator.hpp
+++ b/test/platform/soak/operator.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// The operator of the soak: changes the configuration one step after the other, sends each until
-/// it is acknowledged, and remembers when every route came and went.
+/// The operator of the soak test: makes one configuration change at a time, resends it until it is
+/// acknowledged, and records when each route was added and removed.
 
 #include <optional>
 #include <string>
@@ -14,8 +14,8 @@
 
 using common::TimePoint;
 
-/// A route that comes and goes. Times are those of the acknowledgements, as the operator heard
-/// them.
+/// A route that is added and later removed. Times are those at which the operator received the
+/// acknowledgements.
 struct ChangingRoute {
   std::string path;
   std::optional<TimePoint> added;
@@ -31,19 +31,19 @@
 
   Operator(std::vector<std::string> controllers, std::uint64_t seed);
 
-  /// Begins the next change where none is under way and one is due; sends again what has no answer.
+  /// Begins the next change if none is pending and one is due; resends an unacknowledged change.
   void tick(TimePoint now, bool may_begin);
   bool has_first_configuration() const { return acknowledged_ > 0; }
   bool is_idle() const { return !change_.has_value(); }
   std::uint64_t acknowledged() const { return acknowledged_; }
   const std::vector<ChangingRoute>& routes() const { return routes_; }
-  /// Set where an acknowledged change was refused or the like.
+  /// One entry for each change that a controller refused.
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
   struct Change {
     std::uint64_t version = 0;
-    std::string path;  ///< of the call
+    std::string path;  ///< of the API request
     std::string body;
     std::optional<std::size_t> adds;
     std::optional<std::size_t> removes;
@@ -61,7 +61,7 @@
   transport::HttpClient client_;
   std::vector<ChangingRoute> routes_;
   std::optional<Change> change_;
-  std::uint64_t version_ = 0;  ///< the newest acknowledged
+  std::uint64_t version_ = 0;  ///< the newest acknowledged version
   std::uint64_t acknowledged_ = 0;
   TimePoint next_change_;
   std::vector<std::string> violations_;
--- a/test/platform/soak/pipeline.hpp
+++ b/test/platform/soak/pipeline.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// One connection of a client that sends its requests on without waiting for answers, and takes the
-/// answers in order.
+/// A client connection with HTTP pipelining: sends requests without waiting for responses and
+/// matches the responses to them in order.
 
 #include <deque>
 #include <functional>
@@ -17,14 +17,15 @@
 struct PipelinedRequest {
   std::string id;
   std::string bytes;
-  /// Called once, with the answer in this request's place, or with no whole answer. Behind an
-  /// answer that closes the connection, a request counts as on a connection that was used before.
+  /// Called once, with the response to this request, or with an error if no complete response
+  /// arrived. A request that follows a response that closes the connection counts as sent on a
+  /// reused connection.
   transport::HttpClient::Callback done;
 };
 
 class Pipeline : public std::enable_shared_from_this<Pipeline> {
  public:
-  /// Writes all requests at once. Keeps itself until every request has its answer, or none comes.
+  /// Writes all requests at once. The object owns itself until all requests are answered or fail.
   static void send(const std::string& address, std::vector<PipelinedRequest> requests,
                    common::Duration timeout);
   Pipeline(const Pipeline&) = delete;
@@ -43,7 +44,7 @@
   std::deque<PipelinedRequest> requests_;
   std::size_t answered_ = 0;  ///< requests whose callback was called
   guint timer_ = 0;
-  std::shared_ptr<Pipeline> self_;  ///< until it has ended
+  std::shared_ptr<Pipeline> self_;  ///< owns this object until the connection has ended
 };
 
 }  // namespace planktray::soak
--- a/test/platform/soak/processes.cpp
+++ b/test/platform/soak/processes.cpp
@@ -79,7 +79,7 @@
 
 void Processes::start_all(TimePoint now) {
   std::filesystem::create_directories(data_);
-  // Disks of an earlier run hold its configuration: the first change of this one would be refused.
+  // Data of an earlier run holds its configuration; the first change of this run would be refused.
   for (const Process& process : processes_) {
     std::filesystem::remove_all(data_ / process.name);
     std::filesystem::remove(data_ / (process.name + ".log"));
--- a/test/platform/soak/processes.hpp
+++ b/test/platform/soak/processes.hpp
@@ -1,7 +1,6 @@
 #pragma once
-/// The real programs of one fleet as separate processes on loopback addresses: started with
-/// settings files of their own, ended, paused and started again by signals. Ends only what it has
-/// started.
+/// Runs the real programs of one fleet as separate processes on loopback addresses. Each has its
+/// own settings file; signals stop and pause processes. Ends only processes that it started.
 
 #include <sys/types.h>
 
@@ -22,13 +21,13 @@
   int targets = 8;
 };
 
-/// What is promised to operators in this fleet; the programs get the same in their settings.
+/// The guarantees given to operators of this fleet; the programs' settings hold the same values.
 struct Promises {
-  Duration change = std::chrono::milliseconds(2500);   ///< in force, or left alone, this long after
-  Duration contact = std::chrono::milliseconds(4000);  ///< quiet time after which both must hold
-  /// Added to `change` where controllers had trouble within `contact`.
+  Duration change = std::chrono::milliseconds(2500);   ///< from acknowledgement to effect
+  Duration contact = std::chrono::milliseconds(4000);  ///< quiet time before bounds apply
+  /// Added to `change` if controllers had a fault within `contact`.
   Duration stretch = std::chrono::milliseconds(6000);
-  Duration grace = std::chrono::milliseconds(10000);  ///< from SIGTERM to the end
+  Duration grace = std::chrono::milliseconds(10000);  ///< from SIGTERM to process exit
 };
 
 enum class Role { kController, kRouter };
@@ -36,17 +35,17 @@
 struct Process {
   Role role = Role::kRouter;
   std::string name;
-  std::string address;  ///< control of a controller, front of a router
-  std::string ready;    ///< readiness of a router
+  std::string address;  ///< control address of a controller, front of a router
+  std::string ready;    ///< readiness address of a router
   pid_t pid = 0;        ///< 0: not running
   bool paused = false;
   bool terminating = false;
-  TimePoint last_trouble;  ///< the last signal, end or start
+  TimePoint last_trouble;  ///< the last signal, exit or start
 };
 
 class Processes {
  public:
-  /// @param bin folder of the programs. @param data folder for settings, logs and disks.
+  /// @param bin folder of the programs. @param data folder for settings, logs and stored data.
   Processes(std::filesystem::path bin, std::filesystem::path data, FleetSize size,
             std::uint64_t seed);
   ~Processes();
@@ -56,17 +55,17 @@
   void start_all(TimePoint now);
   void start(TimePoint now, std::size_t number);
   void signal(TimePoint now, std::size_t number, int signal_number);
-  /// Notices processes that have ended. @return names of those that ended by themselves.
+  /// Reaps exited processes. @return name and status of each that exited unexpectedly.
   std::vector<std::string> reap(TimePoint now);
   void end_all();
 
   const std::vector<Process>& all() const { return processes_; }
   std::vector<std::size_t> of(Role role) const;
-  /// True where the process ran without any trouble for `length`.
+  /// Returns whether the process has run without a fault for `length`.
   static bool was_quiet(const Process& process, TimePoint now, Duration length);
-  /// True where all controllers were quiet for `length`.
+  /// Returns whether all controllers have been quiet for `length`.
   bool core_was_quiet(TimePoint now, Duration length) const;
-  /// True where more than half of the controllers run, and did for `length`.
+  /// Returns whether a majority of the controllers has been quiet for `length`.
   bool core_had_majority(TimePoint now, Duration length) const;
   const std::string& network() const { return network_; }
 
--- a/test/platform/soak/targets.cpp
+++ b/test/platform/soak/targets.cpp
@@ -15,8 +15,8 @@
 constexpr Duration kAnswerTimeout = std::chrono::milliseconds(1000);
 constexpr Duration kServesOn = std::chrono::milliseconds(4000);
 constexpr Duration kGone = std::chrono::milliseconds(2000);
-/// All targets share the descriptors of one process, and every router may keep a connection to
-/// each.
+/// Short, since all targets share the file descriptors of one process and every router may keep
+/// connections to each target.
 constexpr Duration kIdleTimeout = std::chrono::milliseconds(1000);
 constexpr int kPort = 7003;
 constexpr int kSubnet = 40;
--- a/test/platform/soak/targets.hpp
+++ b/test/platform/soak/targets.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// The targets of the soak: HTTP servers in this process that register themselves, leave and come
-/// back as another incarnation at the same address, and remember which requests they ran.
+/// The targets of the soak test: HTTP servers in this process that register themselves, drain,
+/// return as a new incarnation at the same address, and report each request that they execute.
 
 #include <functional>
 #include <map>
@@ -19,13 +19,13 @@
 using common::Duration;
 using common::TimePoint;
 
-/// A request that a target ran.
+/// A request that a target executed.
 struct Arrival {
   std::string request;
   std::string service;
   std::string instance;
   TimePoint when;
-  std::optional<TimePoint> leaving_since;  ///< its leaving was acknowledged then
+  std::optional<TimePoint> leaving_since;  ///< when its draining was acknowledged
 };
 
 class Targets {
@@ -35,9 +35,9 @@
   Targets(const std::string& network, int count, std::vector<std::string> controllers,
           std::uint64_t seed, OnArrival on_arrival);
   common::Result<void> start();
-  /// Sends the heartbeats that are due, and moves on those that leave.
+  /// Sends due heartbeats; deregisters drained targets and starts their next incarnation.
   void tick(TimePoint now);
-  /// One of those that serve says that it leaves.
+  /// Starts draining one target whose service keeps at least one other.
   void leave_one(TimePoint now);
   std::uint64_t heartbeats_acknowledged() const { return acknowledged_; }
   std::uint64_t leavings_acknowledged() const { return leavings_; }
@@ -53,7 +53,7 @@
     bool draining = false;
     bool awaits_answer = false;
     std::optional<TimePoint> leaving_since;
-    std::optional<TimePoint> gone_until;  ///< it has ended; its next life starts then
+    std::optional<TimePoint> gone_until;  ///< deregistered; the next incarnation starts then
     TimePoint next_heartbeat;
     std::string next_controller;
     std::unique_ptr<transport::HttpServer> server;
