--- a/src/standin/backend_process.cpp
+++ b/src/standin/backend_process.cpp
@@ -16,7 +16,7 @@
 using transport::boot_time_now;
 
 constexpr common::Duration kTick = std::chrono::milliseconds(5);
-/// A leaving back end stays this long after its last work, for requests on their way.
+/// A draining back end stays up this long after its last request, to serve requests in flight.
 constexpr common::Duration kDrainQuiet = std::chrono::milliseconds(1000);
 constexpr std::size_t kMaxBody = 16 * 1024 * 1024;
 constexpr unsigned kStatusOk = 200;
@@ -239,7 +239,7 @@
                   {"shard", order.shard.value},
                   {"epoch", order.epoch.value}}
                  .dump()
-          << std::endl;  // NOLINT(performance-avoid-endl): a kill must not lose what ran
+          << std::endl;  // NOLINT(performance-avoid-endl): SIGKILL must not lose entries
 }
 
 std::string BackendProcess::metrics_text() {
--- a/src/standin/backend_process.hpp
+++ b/src/standin/backend_process.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// A back end as a process: BackendCore behind an HTTP server, with a ledger of what ran.
+/// A back end process: serves BackendCore over HTTP and records executed requests in a ledger.
 
 #include <fstream>
 #include <memory>
@@ -17,11 +17,12 @@
 struct BackendSettings {
   std::string name;
   std::string address;
-  std::string ledger;  ///< file that a line is added to for each effect; empty: none
+  std::string ledger;  ///< file with one line per executed request; empty: none
   std::uint32_t slots = 2;
   std::uint32_t queue_limit = 8;
-  common::Duration service_time = std::chrono::milliseconds(5);  ///< mean, exponential
-  common::Duration network_delay{0};  ///< added before the work and before the answer
+  common::Duration service_time =
+      std::chrono::milliseconds(5);   ///< mean of an exponential distribution
+  common::Duration network_delay{0};  ///< added before the work and before the response
   common::Duration drain_timeout = std::chrono::milliseconds(30'000);
 };
 
@@ -62,7 +63,8 @@
   std::uint64_t executed_ = 0;
   std::uint64_t refused_ = 0;
   bool stopping_ = false;
-  common::TimePoint last_work_;  ///< or the beginning of the drain
+  common::TimePoint
+      last_work_;  ///< time of the last request, or of the start of the drain if later
   common::TimePoint stop_by_;
 };
 
--- a/src/standin/core/backend_core.cpp
+++ b/src/standin/core/backend_core.cpp
@@ -16,7 +16,8 @@
   }
   highest_term_ = request.term;
   if (request.incarnation.value.empty()) {
-    return LeaseStatus::kAccepted;  // first contact: tells who this is, grants nothing
+    return LeaseStatus::kAccepted;  // first contact: the reply reports the incarnation, nothing is
+                                    // granted
   }
   if (request.incarnation != incarnation_) {
     return LeaseStatus::kWrongIncarnation;
@@ -165,8 +166,8 @@
   if (found == running_.end()) {
     return;
   }
-  // The fence is checked again where the effect is made durable. A deadline that passes meanwhile
-  // does not undo work that had begun, and a released epoch lets running work end.
+  // The fencing token is checked again before the effect becomes durable. A deadline that expires
+  // while the work runs does not cancel it, and running work of a released epoch may finish.
   std::optional<Refusal> refusal;
   const WorkOrder& order = found->second;
   if (order.keyed && !options_.ignore_fence) {
--- a/src/standin/core/backend_core.hpp
+++ b/src/standin/core/backend_core.hpp
@@ -1,7 +1,7 @@
 #pragma once
-/// A back end as the product expects one: it holds leases and grants in its own clock, refuses what
-/// it may not run, runs at most `slots` requests at once, and drains. Shared by the stand-in
-/// process and the simulator.
+/// Reference behaviour of a back end: holds leases and grants by its own clock, refuses requests
+/// that it has no right to run, runs at most `slots` requests concurrently, and drains. Shared by
+/// the stand-in process and the simulator.
 
 #include <cstdint>
 #include <deque>
@@ -21,7 +21,7 @@
 using common::Duration;
 using common::TimePoint;
 
-/// Where a shard is named by its service.
+/// A shard identified by its service and number.
 using ShardName = std::pair<common::ServiceKey, common::ShardNumber>;
 
 /// The holder's side of the lease protocol.
@@ -30,18 +30,18 @@
   explicit LeaseHolder(common::Incarnation incarnation) : incarnation_(std::move(incarnation)) {}
 
   ownership::LeaseStatus on_lease(TimePoint now, const ownership::LeaseRequest& request);
-  /// Ends the named epochs for good. @return false for a stale term or another incarnation.
+  /// Revokes the listed epochs permanently. @return false for a stale term or another incarnation.
   bool on_release(const ownership::ReleaseRequest& request);
-  /// @return why work on this shard must be refused now; nothing where it may run.
+  /// @return the reason to refuse work on this shard at `now`; nullopt if it may run.
   std::optional<routing::Refusal> check(TimePoint now, const ShardName& shard,
                                         common::Epoch epoch) const;
   bool has_lease(TimePoint now) const;
-  /// Shards that work would be accepted for now.
+  /// Shards for which work would be accepted at `now`.
   std::vector<std::pair<ShardName, common::Epoch>> held(TimePoint now) const;
 
   const common::Incarnation& incarnation() const { return incarnation_; }
   const std::string& digest() const { return digest_; }
-  /// Grows whenever grants or releases change, for observers.
+  /// Increases whenever grants or releases change, so that observers detect changes.
   std::uint64_t version() const { return version_; }
 
  private:
@@ -59,9 +59,9 @@
   common::Incarnation incarnation;
   std::uint32_t slots = 1;
   std::uint32_t queue_limit = 4;
-  /// Fault for mutants: runs whatever it is sent.
+  /// Injected fault for mutation tests: runs every request without a fencing check.
   bool ignore_fence = false;
-  /// Fault for mutants: takes new work while draining.
+  /// Injected fault for mutation tests: accepts new work while draining.
   bool ignore_drain = false;
 };
 
@@ -70,7 +70,7 @@
 
 struct WorkOrder {
   common::RequestId request;
-  common::Incarnation incarnation;  ///< the one it is meant for
+  common::Incarnation incarnation;  ///< incarnation that the request is addressed to
   common::ServiceKey service;
   bool keyed = false;
   common::ShardNumber shard;
@@ -78,11 +78,11 @@
   TimePoint deadline;
 };
 
-/// The work has a slot; call on_work_finished() when its time has passed.
+/// The work occupies a slot; the caller reports its end with on_work_finished().
 struct WorkStarted {
   WorkId work;
 };
-/// The work's effect was made (no refusal), or it did not run.
+/// The work took effect (no refusal), or was refused and had no effect.
 struct WorkDone {
   WorkId work;
   std::optional<routing::Refusal> refusal;
@@ -107,7 +107,7 @@
   void on_release(TimePoint now, ReleaseId id, const ownership::ReleaseRequest& request);
   void on_work(TimePoint now, WorkId id, WorkOrder order);
   void on_work_finished(TimePoint now, WorkId id);
-  /// The router closed the connection. Work that runs already goes on.
+  /// The router closed the connection: drops queued work; running work continues.
   void on_work_cancelled(WorkId id);
   void tick(TimePoint now);
   void begin_drain() { draining_ = true; }
--- a/src/standin/hollow_process.cpp
+++ b/src/standin/hollow_process.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxBody = 64UL * 1024 * 1024;
 constexpr common::Duration kTick = std::chrono::milliseconds(10);
-/// Above what the library allows by itself, 1,023.
+/// Raises the default limit of ZeroMQ, which is 1,023.
 constexpr int kMaxSockets = 20'000;
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusNotFound = 404;
--- a/src/standin/hollow_process.hpp
+++ b/src/standin/hollow_process.hpp
@@ -1,6 +1,7 @@
 #pragma once
-/// Many hollow back ends and routers in one process: they speak the real protocols on real sockets
-/// and do no work. For measuring what control costs at a size that one machine cannot run whole.
+/// Many hollow back ends and routers in one process: they use the real protocols on real sockets
+/// and execute no requests. Measures control-plane cost at a scale that one machine cannot run in
+/// full.
 
 #include <deque>
 #include <memory>
@@ -18,7 +19,7 @@
 
 struct HollowSettings {
   std::string host = "127.0.0.1";
-  int first_port = 20'000;  ///< the machine list; back ends follow
+  int first_port = 20'000;  ///< port of the machine list; back ends use the ports after it
   int backends = 0;
   int routers = 0;
   std::string pool = "hollow";
--- a/src/standin/lease_endpoint.hpp
+++ b/src/standin/lease_endpoint.hpp
@@ -6,7 +6,7 @@
 
 namespace planktray::standin {
 
-/// Takes the request to the back end and answers with what it says.
+/// Passes the lease request to `core` and responds with its reply.
 void answer_lease(BackendCore& core, const transport::ExchangePointer& exchange);
 
 }  // namespace planktray::standin
--- a/src/standin/load_process.cpp
+++ b/src/standin/load_process.cpp
@@ -13,7 +13,7 @@
 
 constexpr common::Duration kTick = std::chrono::milliseconds(1);
 constexpr std::size_t kConnections = 4096;
-/// Answers may come this much after the deadline before the tool stops waiting.
+/// Time after a request's deadline for which the tool still waits for its response.
 constexpr std::uint32_t kGraceMs = 3000;
 
 double milliseconds(common::Duration value) {
@@ -49,7 +49,7 @@
   loop_.on_terminate([this] { settings_.duration = boot_time_now() - started_; });
   loop_.run();
   report();
-  return foreign_ == 0 ? 0 : 1;
+  return mismatched_ == 0 ? 0 : 1;
 }
 
 void LoadProcess::send_due() {
@@ -74,7 +74,7 @@
   call.repeatable = !common::chance(random_, settings_.write_share);
   call.method = call.repeatable ? "GET" : (common::chance(random_, 0.5) ? "POST" : "PUT");
   call.key = "key-" + std::to_string(common::uniform(random_, 0, settings_.keys - 1));
-  call.asked = boot_time_now();
+  call.sent_at = boot_time_now();
   const std::string& router =
       settings_.routers[common::uniform(random_, 0, settings_.routers.size() - 1)];
   transport::HttpRequest request;
@@ -101,8 +101,8 @@
   } else if (outcome == "answered") {
     const json body = json::parse(response.text(), nullptr, false);
     body_id = body.is_object() ? body.value("request_id", "") : "";
-    latency_.add(boot_time_now() - call.asked);
-    foreign_ += body_id == call.id ? 0 : 1;
+    latency_.add(boot_time_now() - call.sent_at);
+    mismatched_ += body_id == call.id ? 0 : 1;
   }
   ++outcomes_[outcome];
   if (record_.is_open()) {
@@ -111,7 +111,7 @@
                     {"method", call.method},
                     {"key", call.key},
                     {"repeatable", call.repeatable},
-                    {"asked_us", common::to_microseconds(call.asked)},
+                    {"asked_us", common::to_microseconds(call.sent_at)},
                     {"told_us", common::to_microseconds(boot_time_now())},
                     {"outcome", outcome},
                     {"status", response.status},
@@ -124,7 +124,7 @@
 void LoadProcess::report() const {
   json body = {{"sent", sent_},
                {"outcomes", outcomes_},
-               {"foreign_answers", foreign_},
+               {"foreign_answers", mismatched_},
                {"p50_ms", milliseconds(latency_.quantile(0.5))},
                {"p99_ms", milliseconds(latency_.quantile(0.99))},
                {"max_ms", milliseconds(latency_.maximum())}};
@@ -136,7 +136,7 @@
   for (const auto& [outcome, count] : outcomes_) {
     std::cout << "  " << outcome << "  " << count << "\n";
   }
-  std::cout << "answers to another request  " << foreign_ << "\n"
+  std::cout << "answers to another request  " << mismatched_ << "\n"
             << "latency of answers  p50 " << body["p50_ms"] << " ms  p99 " << body["p99_ms"]
             << " ms  max " << body["max_ms"] << " ms\n";
 }
--- a/src/standin/load_process.hpp
+++ b/src/standin/load_process.hpp
@@ -1,6 +1,6 @@
 #pragma once
-/// The load tool: sends requests at a fixed rate without waiting for answers (open loop), records
-/// each with its outcome, and prints latency percentiles.
+/// The load generator: sends requests at a fixed rate without waiting for responses (open loop),
+/// records each with its outcome, and prints latency percentiles.
 
 #include <cstdint>
 #include <fstream>
@@ -19,12 +19,12 @@
 struct LoadSettings {
   std::vector<std::string> routers;   ///< "IP:port"
   std::vector<std::string> services;  ///< "tenant/service"
-  double rate = 100;                  ///< requests a second, all together
+  double rate = 100;                  ///< requests per second in total
   common::Duration duration = std::chrono::milliseconds(10'000);
-  double write_share = 0.3;  ///< share of requests that may run once at most
+  double write_share = 0.3;  ///< fraction of requests that must run at most once
   std::uint32_t keys = 1000;
   std::uint32_t timeout_ms = 2000;
-  std::string record;  ///< file for one line a request; empty: none
+  std::string record;  ///< file with one line per request; empty: none
   std::uint64_t seed = 1;
   bool as_json = false;
 };
@@ -34,7 +34,7 @@
   explicit LoadProcess(LoadSettings settings);
 
   common::Result<void> start();
-  /// @return 0 where every answer was whole and its own, else 1.
+  /// @return 0 if no answer carried the ID of another request, otherwise 1.
   int run();
 
  private:
@@ -44,7 +44,7 @@
     std::string method;
     std::string key;
     bool repeatable = false;
-    common::TimePoint asked;
+    common::TimePoint sent_at;
   };
 
   void send_due();
@@ -60,7 +60,7 @@
   common::TimePoint started_;
   std::uint64_t sent_ = 0;
   std::uint64_t finished_ = 0;
-  std::uint64_t foreign_ = 0;
+  std::uint64_t mismatched_ = 0;
   std::string run_id_;
   std::map<std::string, std::uint64_t> outcomes_;
   common::Histogram latency_;
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -1,4 +1,4 @@
-/// planktray-standin: the outside systems that planktray talks to, for trials and tests.
+/// planktray-standin: stand-ins for the external systems that planktray connects to, for tests.
 
 #include "standin/backend_process.hpp"
 #include "standin/hollow_process.hpp"
--- a/src/standin/platform_process.hpp
+++ b/src/standin/platform_process.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// The platform's list of machines, served with a lag.
+/// The platform's machine list, served with a configurable delay.
 
 #include <deque>
 #include <memory>
@@ -14,11 +14,11 @@
 
 struct PlatformSettings {
   std::string address;
-  std::string file;         ///< JSON list to start from
-  common::Duration lag{0};  ///< a change shows this much later
+  std::string file;         ///< initial machine list, JSON
+  common::Duration lag{0};  ///< delay until a change becomes visible
 };
 
-/// `GET /machines`; `PUT /machines/NAME` with {"state": "live"|"leaving"} or a whole machine.
+/// `GET /machines`; `PUT /machines/NAME` with {"state": "live"|"leaving"} or a complete machine.
 class PlatformProcess {
  public:
   explicit PlatformProcess(PlatformSettings settings) : settings_(std::move(settings)) {}
@@ -34,7 +34,7 @@
   PlatformSettings settings_;
   transport::EventLoop loop_;
   std::unique_ptr<transport::HttpServer> server_;
-  /// Versions with the time from which each is seen; the last is the truth.
+  /// Versions, each with the time from which it is served; the last one is current.
   std::deque<std::pair<common::TimePoint, membership::MachineList>> versions_;
 };
 
--- a/src/standin/relay_process.cpp
+++ b/src/standin/relay_process.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxBody = 4096;
 constexpr unsigned kStatusOk = 200;
 constexpr std::string_view kPrefix = "/links/";
-/// A cut direction looks again for its repair this often.
+/// Interval at which pending bytes of a cut direction are retried.
 constexpr common::Duration kCutPoll = std::chrono::milliseconds(10);
 
 GSocketAddress* socket_address(const std::string& address) {
@@ -46,7 +46,7 @@
   RelayCut cut = RelayCut::kNone;
 };
 
-/// Both halves of one relayed connection.
+/// The caller's and the target's socket of one relayed connection.
 struct RelayProcess::Connection {
   GSocketConnection* caller = nullptr;
   GSocketConnection* target = nullptr;
@@ -174,7 +174,7 @@
   connection->target = g_socket_client_connect_finish(G_SOCKET_CLIENT(client), result, &error);
   if (connection->target == nullptr) {
     g_clear_error(&error);
-    return;  // closes the caller's side
+    return;  // destroying `connection` closes the caller's socket
   }
   for (const bool towards_target : {true, false}) {
     auto pump = std::make_shared<Pump>();
--- a/src/standin/relay_process.hpp
+++ b/src/standin/relay_process.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// A TCP relay that delays, and that can be cut in one or both directions.
+/// A TCP relay that adds latency and can simulate a partition in one or both directions.
 
 #include <gio/gio.h>
 
@@ -22,13 +22,14 @@
 struct RelaySettings {
   std::string control;  ///< "IP:port" of the control API
   std::vector<RelayLink> links;
-  common::Duration delay{0};  ///< each way
+  common::Duration delay{0};  ///< added in each direction
 };
 
-/// Which direction of a link carries no bytes. Connections stay open, as across a silent cut.
+/// Direction in which a link forwards no bytes. Connections stay open, as in a network partition
+/// that sends no resets.
 enum class RelayCut : std::uint8_t { kNone, kBoth, kToTarget, kFromTarget };
 
-/// Control: `PUT /links/N` with {"cut": "none"|"both"|"to-target"|"from-target"}, N from 0.
+/// Control API: `PUT /links/N` with {"cut": "none"|"both"|"to-target"|"from-target"}, N from 0.
 class RelayProcess {
  public:
   explicit RelayProcess(RelaySettings settings);
