--- a/bench/cell_fixture.hpp
+++ b/bench/cell_fixture.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// A cell's state at a chosen size: one tenant whose shards are spread over its back ends.
+/// A cell state of a given size: one tenant whose shards are spread over the back ends.
 
 #include <string>
 
@@ -12,15 +12,15 @@
   std::uint32_t shards = 0;
 };
 
-/// What the making of a cell cost.
+/// Cost of building a cell state.
 struct CellCost {
-  double register_us = 0;  ///< for each back end
-  double assign_us = 0;    ///< for each shard
+  double register_us = 0;  ///< per back end
+  double assign_us = 0;    ///< per shard
   double backend_bytes = 0;
   double shard_bytes = 0;
 };
 
-/// Makes the state by applying commands, as a replica does.
+/// Builds the state by applying commands, as a replica does.
 ownership::CellState make_cell(const CellSize& size, CellCost& cost);
 
 }  // namespace planktray::bench
--- a/bench/leader_load.cpp
+++ b/bench/leader_load.cpp
@@ -17,13 +17,13 @@
 
 constexpr auto kStep = milliseconds(1);
 constexpr std::uint32_t kBusyKeys = 200;
-constexpr std::uint32_t kBusyKeysEvery = 7;  ///< distance between two of them
+constexpr std::uint32_t kBusyKeysEvery = 7;  ///< distance between two busy keys
 constexpr std::uint32_t kHeartbeatMs = 1300;
-constexpr std::uint32_t kBusySeconds = 5;  ///< the busy keys change this often
-/// A router's table is as old as this when it says which one it has.
+constexpr std::uint32_t kBusySeconds = 5;  ///< interval between changes of the busy keys
+/// Delay until a router has installed a table that was sent to it.
 constexpr auto kTableDelay = milliseconds(20);
 
-/// A cell of one replica whose disk and back ends answer at once.
+/// A cell of one replica whose disk and back ends respond immediately.
 class LeaderWorld {
  public:
   explicit LeaderWorld(const LeaderLoad& load)
@@ -33,7 +33,7 @@
     consensus::Membership members;
     members.members.push_back({common::ReplicaId(1), "one", "10.0.0.1:1", "10.0.0.1:2", true});
     (void)core_.create_cell(now_, members);
-    carry_out();
+    process_output();
   }
 
   LeaderCost run() {
@@ -74,7 +74,7 @@
       change.services.push_back(service);
     }
     core_.change_routes(now_, core_.new_request(), change);
-    carry_out();
+    process_output();
     for (const auto& [id, service] : core_.state().routed_services()) {
       service_ = service.config.keyed ? id : service_;
     }
@@ -92,7 +92,7 @@
           core_.tick(now_);
         }
       });
-      carry_out();
+      process_output();
     }
   }
   template <typename Work>
@@ -102,11 +102,11 @@
     spent_ += std::chrono::steady_clock::now() - begin;
   }
   std::int64_t time_ms() const { return common::to_microseconds(now_) / 1000; }
-  /// True at the millisecond of an interval that is this one's.
+  /// Returns true at the one millisecond of each interval assigned to item `which`.
   bool is_turn(std::uint32_t which, std::uint32_t interval_ms) const {
     return time_ms() % interval_ms == which % interval_ms;
   }
-  /// Back ends that end and are replaced at once, taken in turn from all.
+  /// Deregisters back ends in rotation and replaces each with a new incarnation.
   void replace_some() {
     const std::uint32_t all = load_.holders + load_.others;
     if (load_.replaced == 0 || !service_.value || !is_turn(0, 1000 / load_.replaced)) {
@@ -116,11 +116,12 @@
     const std::uint32_t which = next_replaced_ = (next_replaced_ + kStride) % all;
     const common::Incarnation leaving = incarnation(which);
     timed([&] { core_.deregister(now_, core_.new_request(), leaving); });
-    carry_out();
-    ++lives_[which];
+    process_output();
+    ++ended_incarnations_[which];
   }
   common::Incarnation incarnation(std::uint32_t which) {
-    return common::Incarnation("i-" + std::to_string(which) + "-" + std::to_string(lives_[which]));
+    return common::Incarnation("i-" + std::to_string(which) + "-" +
+                               std::to_string(ended_incarnations_[which]));
   }
   void heartbeats() {
     for (std::uint32_t i = 0; i < load_.holders + load_.others; ++i) {
@@ -134,10 +135,10 @@
       heartbeat.slots = 2;
       heartbeat.sequence = static_cast<std::uint64_t>(time_ms());
       timed([&] { core_.heartbeat(now_, core_.new_request(), heartbeat); });
-      carry_out();
+      process_output();
     }
   }
-  std::uint32_t any_key() {
+  std::uint32_t draw_key() {
     if (common::chance(random_, 0.5)) {
       return static_cast<std::uint32_t>(common::uniform(random_, 0, config::kKeyCount - 1));
     }
@@ -160,13 +161,13 @@
       hello.table_index = table_of(hello.router);
       hello.serving = true;
       for (std::uint32_t n = load_.requests * interval / 1000 / load_.routers; n > 0; --n) {
-        hello.key_loads.push_back({service_, any_key(), 1});
+        hello.key_loads.push_back({service_, draw_key(), 1});
       }
       timed([&] { core_.on_router_hello(now_, hello); });
-      carry_out();
+      process_output();
     }
   }
-  /// What the router has installed by now.
+  /// Returns the table index that the router has installed at the current time.
   common::LogIndex table_of(const common::RouterName& router) {
     RouterTable& table = router_tables_[router];
     if (now_ >= table.arrives) {
@@ -183,7 +184,7 @@
       bytes_ += common::encode(table.update).size();
     }
   }
-  void carry_out() {
+  void process_output() {
     while (true) {
       controller::ControllerOutput output = core_.take_output();
       if (output.empty()) {
@@ -224,9 +225,10 @@
     TimePoint arrives;
   };
   std::map<common::RouterName, RouterTable> router_tables_;
-  std::map<std::uint32_t, std::uint32_t> lives_;  ///< ended incarnations of each back end
+  std::map<std::uint32_t, std::uint32_t>
+      ended_incarnations_;  ///< ended incarnations of each back end
   std::uint32_t next_replaced_ = 0;
-  std::uint64_t bytes_ = 0;  ///< of tables
+  std::uint64_t bytes_ = 0;  ///< encoded bytes of tables sent
   std::chrono::steady_clock::duration spent_{};
   std::uint64_t orders_ = 0;
   std::uint64_t tables_ = 0;
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,4 +1,4 @@
-/// planktray-bench: measures slopes inside one process. tools/slopes adds what needs real
+/// planktray-bench: measures slopes in one process. tools/slopes measures those that need several
 /// processes.
 
 #include <CLI/CLI.hpp>
@@ -30,11 +30,11 @@
   limits->add_option("--seconds", limit_seconds, "Simulated seconds of each run")
       ->check(CLI::PositiveNumber);
   CLI::App* overload =
-      app.add_subcommand("overload", "What callers get of a service above its room");
+      app.add_subcommand("overload", "What callers get of a service above its capacity");
   planktray::bench::OverloadSize size;
   overload->add_option("--routers", size.routers, "Routers")->check(CLI::PositiveNumber);
   overload->add_option("--backends", size.backends, "Back ends")->check(CLI::PositiveNumber);
-  overload->add_option("--demand", size.demand, "Demand relative to room")
+  overload->add_option("--demand", size.demand, "Demand relative to capacity")
       ->check(CLI::PositiveNumber);
   overload->add_option("--skew", size.skew, "Requests at half of the owners relative to the rest")
       ->check(CLI::PositiveNumber);
--- a/bench/measure.hpp
+++ b/bench/measure.hpp
@@ -21,7 +21,7 @@
   return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
 }
 
-/// Processor time and heap growth between its making and the calls.
+/// Measures processor time and heap growth since its construction.
 class Meter {
  public:
   Meter() : heap_(heap_bytes()), time_(processor_us()) {}
--- a/bench/overload.cpp
+++ b/bench/overload.cpp
@@ -10,25 +10,26 @@
 
 using std::chrono::milliseconds;
 
-struct Way {
+struct Strategy {
   const char* name;
   void (*apply)(sim::OverloadOptions& options);
 };
 
-constexpr std::array kWays = {
-    Way{"own time",
-        [](sim::OverloadOptions& options) {
-          options.router.latency_bound_fraction = 0;
-          options.router.crowded_owners.is_enabled = false;
-        }},
-    Way{"common bound",
+constexpr std::array kStrategies = {
+    Strategy{"own time",
+             [](sim::OverloadOptions& options) {
+               options.router.latency_bound_fraction = 0;
+               options.router.crowded_owners.is_enabled = false;
+             }},
+    Strategy{
+        "common bound",
         [](sim::OverloadOptions& options) { options.router.crowded_owners.is_enabled = false; }},
-    Way{"leader", [](sim::OverloadOptions& /*options*/) {}},
+    Strategy{"leader", [](sim::OverloadOptions& /*options*/) {}},
 };
 
-void print_run(const char* way, const sim::OverloadOptions& options) {
+void print_run(const char* strategy, const sim::OverloadOptions& options) {
   const sim::OverloadResult result = sim::run_overload_world(options);
-  std::printf("%-14s %2zu routers %s demand %.1f skew %.1f: used %.2f, turned away %5llu", way,
+  std::printf("%-14s %2zu routers %s demand %.1f skew %.1f: used %.2f, turned away %5llu", strategy,
               options.routers, options.keyed ? "keys   " : "no keys", options.demand, options.skew,
               result.used, static_cast<unsigned long long>(result.turned_away));
   for (const auto& [name, kind] : result.kinds) {
@@ -44,7 +45,7 @@
 
 void print_overload(const OverloadSize& size) {
   for (const bool keyed : {true, false}) {
-    for (const Way& way : kWays) {
+    for (const Strategy& strategy : kStrategies) {
       sim::OverloadOptions options;
       options.kinds = {{"first", 0.60, milliseconds(2000), 1200, 800, true},
                        {"patient", 0.30, milliseconds(3000), 2000, 1200, false},
@@ -55,8 +56,8 @@
       options.demand = size.demand;
       options.skew = keyed ? size.skew : 1.0;
       options.length = std::chrono::seconds(size.seconds);
-      way.apply(options);
-      print_run(way.name, options);
+      strategy.apply(options);
+      print_run(strategy.name, options);
     }
   }
 }
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -75,7 +75,7 @@
         "bytes of JSON");
   }
 
-  /// Rounds of renewals with their JSON, both ways, without sockets.
+  /// Measures rounds of renewals with JSON requests and replies, without sockets.
   void measure_renewals() {
     ownership::LeaseManager leases(common::CellName("cell-1"), ownership::LeaseOptions());
     const Meter memory;
@@ -228,7 +228,7 @@
   std::vector<Slope> slopes_;
 };
 
-/// Appends and syncs on this machine's file system, one entry and a group a sync.
+/// Measures append and sync on the local file system, with 1 and 64 entries per sync.
 std::vector<Slope> measure_log() {
   std::vector<Slope> slopes;
   const std::filesystem::path folder =
--- a/bench/slopes.hpp
+++ b/bench/slopes.hpp
@@ -8,7 +8,7 @@
 
 struct Slope {
   std::string name;
-  std::string size;  ///< what it was measured at
+  std::string size;  ///< cell or log group size of the measurement
   double value = 0;
   std::string unit;
 };
