--- a/src/routing/limited_targets.hpp
+++ b/src/routing/limited_targets.hpp
@@ -4,8 +4,7 @@
 ///
 /// Two mechanisms enforce a limit. In both, a router does not need to know what the others send:
 ///  - *Admission.* The leader knows the demand for an owner's keys from all routers and publishes
-///  the
-///    share of it that may be sent. Each router sends this share of its own requests.
+///    the share of it that may be sent. Each router sends this share of its own requests.
 ///  - *Equal shares* (`RateShare`), for targets that other targets can replace, and for owners
 ///    without an admission from the leader within `admission_lease`.
 /// Both use half of the limit. With many routers, the number of requests is Poisson distributed. In
