--- a/src/controller/core/controller_core_backends.cpp
+++ b/src/controller/core/controller_core_backends.cpp
@@ -82,7 +82,7 @@
   const bool is_holder = heartbeat.holdings.has_value() && !is_late &&
                          known->has_contract(ownership::OwnershipContract::kReportedGrant);
   if (is_holder) {
-    ranges_.take_report(now, state_, known->id, *heartbeat.holdings);
+    ranges_.on_holdings_report(now, state_, known->id, *heartbeat.holdings);
   }
   if (heartbeat.draining && !known->leaving) {
     return submit_heartbeat(now, request, is_holder ? known->incarnation : common::Incarnation(),
--- a/src/controller/core/range_controller.cpp
+++ b/src/controller/core/range_controller.cpp
@@ -86,8 +86,9 @@
   return backend;
 }
 
-void RangeController::take_report(TimePoint now, const CellState& state, common::BackendId backend,
-                                  const ownership::HoldingsReport& report) {
+void RangeController::on_holdings_report(TimePoint now, const CellState& state,
+                                         common::BackendId backend,
+                                         const ownership::HoldingsReport& report) {
   grants_.on_holdings_report(now, state, backend, report);
   if (!report.released.empty()) {
     next_plan_ = now;  // keys may have become free
--- a/src/controller/core/range_controller.hpp
+++ b/src/controller/core/range_controller.hpp
@@ -117,8 +117,8 @@
                                                   const ownership::OrderReply& reply);
 
   /// Records the holdings that a back end reports.
-  void take_report(TimePoint now, const ownership::CellState& state, common::BackendId backend,
-                   const ownership::HoldingsReport& report);
+  void on_holdings_report(TimePoint now, const ownership::CellState& state,
+                          common::BackendId backend, const ownership::HoldingsReport& report);
   /// Defers the answer to the heartbeat of such a back end until there is an update for it.
   /// @return the request of an older heartbeat, which will not be answered any more.
   std::optional<OperatorRequestId> defer_heartbeat(TimePoint now, common::BackendId backend,
