--- a/src/router/core/router_core_table.cpp
+++ b/src/router/core/router_core_table.cpp
@@ -192,7 +192,7 @@
   freshness_.on_asked(now);
   if (leader_is_known && next_query_ == TimePoint::max()) {
     next_query_ = now + options_.leader_search.answer_timeout;
-    query_interval_ = options_.leader_search.inquiry_interval;
+    query_interval_ = options_.leader_search.query_interval;
   }
   routing::RouterHello hello = make_basic_hello(now);
   report_ended(now, hello);
@@ -232,7 +232,7 @@
 
 void RouterCore::query_controllers(TimePoint now) {
   next_query_ = now + query_interval_;
-  query_interval_ = std::min(2 * query_interval_, options_.leader_search.longest_inquiry_interval);
+  query_interval_ = std::min(2 * query_interval_, options_.leader_search.max_query_interval);
   freshness_.on_asked(now);
   output_.hello_to_all = false;
   if (!last_follower_.empty()) {
@@ -252,7 +252,7 @@
   ++counters_.leader_queries;
   const auto first = common::uniform(random_, 0, others.size() - 1);
   std::rotate(others.begin(), others.begin() + static_cast<std::ptrdiff_t>(first), others.end());
-  others.resize(std::min(others.size(), options_.leader_search.inquired_controllers));
+  others.resize(std::min(others.size(), options_.leader_search.queried_controllers));
   output_.hello = make_basic_hello(now);
   output_.hello_to = std::move(others);
 }
--- a/src/routing/leader_search.hpp
+++ b/src/routing/leader_search.hpp
@@ -13,22 +13,20 @@
 struct LeaderSearchOptions {
   /// When the leader has not answered a hello within this time, the router asks other controllers
   /// which leader they follow. One turn of an overloaded leader's event loop can take 0.6 s;
-  /// inquiries go to other controllers and do not add to the leader's load.
+  /// queries go to other controllers and do not add to the leader's load.
   common::Duration answer_timeout = std::chrono::milliseconds(500);
-  /// Inquiries are repeated after this time, which doubles up to `longest_inquiry_interval`.
-  common::Duration inquiry_interval = std::chrono::milliseconds(250);
-  common::Duration longest_inquiry_interval = std::chrono::milliseconds(1000);
-  /// Number of controllers asked per inquiry.
-  std::size_t inquired_controllers = 3;
+  /// Queries are repeated after this time, which doubles up to `max_query_interval`.
+  common::Duration query_interval = std::chrono::milliseconds(250);
+  common::Duration max_query_interval = std::chrono::milliseconds(1000);
+  /// Number of controllers asked per query.
+  std::size_t queried_controllers = 3;
   /// After the announcement of a new leader, each router sends its hello after a random delay up to
   /// this time, so that routers, which all need the newly committed changes, do not send at once.
   common::Duration announcement_spread = std::chrono::milliseconds(200);
 
   /// Longest time from the first unanswered hello to the hello at the new leader, if a controller
-  /// that knows the new leader answers by the second inquiry.
-  common::Duration longest() const {
-    return answer_timeout + inquiry_interval + announcement_spread;
-  }
+  /// that knows the new leader answers by the second query.
+  common::Duration longest() const { return answer_timeout + query_interval + announcement_spread; }
 };
 
 }  // namespace planktray::routing
--- a/src/routing/table_freshness.hpp
+++ b/src/routing/table_freshness.hpp
@@ -22,7 +22,7 @@
   /// minus the time that a request takes to reach its back end.
   common::Duration max_age = std::chrono::milliseconds(2000);
   /// Contact is lost when no controller has answered for this long after the first unanswered
-  /// hello. Leaves time for two inquiries to other controllers (at 0.5 and 0.75 s) and an election
+  /// hello. Leaves time for two queries to other controllers (at 0.5 and 0.75 s) and an election
   /// (0.5 s).
   common::Duration contact_timeout = std::chrono::milliseconds(1250);
   /// A router that wakes up this much later than planned was suspended, and missing answers during
@@ -44,7 +44,7 @@
  public:
   explicit TableFreshness(FreshnessOptions options) : options_(options) {}
 
-  /// The router has sent a hello or inquiry to a controller.
+  /// The router has sent a hello or query to a controller.
   void on_asked(common::TimePoint now);
   /// A controller that is the leader, or follows one, has answered.
   void on_answered() { asked_since_.reset(); }
--- a/src/sim/route_world.cpp
+++ b/src/sim/route_world.cpp
@@ -495,13 +495,13 @@
       for (const Answer& answer : output.answers) {
         on_answer(answer);
       }
-      for (const router::ReachabilityProbe& inquiry : output.reachability_probes) {
+      for (const router::ReachabilityProbe& probe : output.reachability_probes) {
         const auto place = static_cast<std::size_t>(&node - nodes_.data());
-        after(kReachDelay, [this, place, life = node.life, inquiry] {
+        after(kReachDelay, [this, place, life = node.life, probe] {
           Node& asker = nodes_[place];
           if (asker.life == life) {
-            const bool listens = at_address_.contains(inquiry.address);
-            asker.core->on_reachability_probed(now_, inquiry.backend, listens);
+            const bool listens = at_address_.contains(probe.address);
+            asker.core->on_reachability_probed(now_, probe.backend, listens);
             flush(asker);
           }
         });
