--- a/src/controller/order_sender.cpp
+++ b/src/controller/order_sender.cpp
@@ -60,7 +60,7 @@
   transport::HttpRequest request = interface_.to_request(order);
   request.address = order.address;
   request.timeout = options_.grant_timeout;
-  request.longest_rest = kMaxIdleTime;
+  request.max_idle_time = kMaxIdleTime;
   client_.send(std::move(request), [this, order](const transport::HttpResponse& response) {
     on_grant_response(order, response);
   });
--- a/src/router/router_process.cpp
+++ b/src/router/router_process.cpp
@@ -111,7 +111,7 @@
     return tl::unexpected(server.error());
   }
   server_ = std::move(*server);
-  server_->run_side_by_side(
+  server_->run_concurrently(
       [this](const transport::HttpMessage& request) { return may_run_concurrently(request); });
   if (settings_.status_address.empty()) {
     return {};
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -360,7 +360,7 @@
     auto connection = std::move(found->second.idle.back());
     found->second.idle.pop_back();
     const bool is_idle_too_long =
-        request.longest_rest.count() > 0 && now - connection->last_used() > request.longest_rest;
+        request.max_idle_time.count() > 0 && now - connection->last_used() > request.max_idle_time;
     if (connection->is_usable(now) && !is_idle_too_long) {
       return connection;
     }
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -43,7 +43,7 @@
   common::Duration settle_time{0};
   /// A connection that has been idle for longer is not used for this request; 0: any usable
   /// connection.
-  common::Duration longest_rest{0};
+  common::Duration max_idle_time{0};
   /// Name of the header by which the response to this request is recognized, with its value below;
   /// responses with another value belong to other requests. Empty: the next response is accepted.
   std::string answer_header;
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -193,7 +193,7 @@
     }
     return !server_.closing_ && pipeline_.back().runs_beside_others &&
            !pipeline_.back().unstarted.has_value() &&
-           pipeline_.size() < server_.options().requests_side_by_side;
+           pipeline_.size() < server_.options().max_concurrent_requests;
   }
 
   void hold_or_read() {
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -3,7 +3,7 @@
 ///
 /// Invariants:
 ///  - A handler receives complete requests only. Requests of one connection run concurrently if the
-///    classifier (`run_side_by_side`) allows it for all of them; any other request waits until the
+///    classifier (`run_concurrently`) allows it for all of them; any other request waits until the
 ///    requests before it are answered, and no later request is read until it is answered.
 ///  - Responses are sent in the order of their requests. No request after a response that closes
 ///    the connection is passed to a handler.
@@ -87,7 +87,7 @@
   common::Duration idle_timeout = std::chrono::seconds(60);
   /// Maximum number of concurrent requests of one connection. At the limit, reading from the
   /// connection pauses, so that one client cannot use all capacity of a service.
-  std::size_t requests_side_by_side = 8;
+  std::size_t max_concurrent_requests = 8;
   /// Limit on the bytes of responses that wait for an earlier response: some hundred responses of
   /// the usual size. Above it, no further request of the connection is started; requests already
   /// started may still add their responses.
@@ -118,7 +118,7 @@
   ~HttpServer();
 
   /// Sets the classifier. If none is set, the requests of a connection run one after the other.
-  void run_side_by_side(Classifier runs_beside_others) {
+  void run_concurrently(Classifier runs_beside_others) {
     runs_beside_others_ = std::move(runs_beside_others);
   }
   /// Sets the options for later connections and requests.
--- a/test/transport/http_client_test.cpp
+++ b/test/transport/http_client_test.cpp
@@ -253,11 +253,11 @@
   HttpClient client(options_with_four_connections());
   HttpRequest request = request_for(server, "GET");
   request.fresh_connection = false;
-  request.longest_rest = milliseconds(2000);
+  request.max_idle_time = milliseconds(2000);
   CHECK(send_and_wait(client, request).is_whole());
   CHECK(send_and_wait(client, request).is_whole());  // idle for 50 ms
   CHECK(server.connections() == 1);
-  request.longest_rest = milliseconds(5);
+  request.max_idle_time = milliseconds(5);
   CHECK(send_and_wait(client, request).is_whole());
   CHECK(server.connections() == 2);
 }
--- a/test/transport/http_server_test.cpp
+++ b/test/transport/http_server_test.cpp
@@ -238,7 +238,7 @@
 struct SideBySideServer : HeldServer {
   explicit SideBySideServer(HttpServerOptions options = options_with_body_limit(1024))
       : HeldServer(options) {
-    server->run_side_by_side([](const HttpMessage& request) { return request.method == "GET"; });
+    server->run_concurrently([](const HttpMessage& request) { return request.method == "GET"; });
   }
   void answer(std::size_t place) {
     exchanges[place]->respond_text(200, "text/plain", "<" + exchanges[place]->path() + ">");
@@ -308,7 +308,7 @@
 
 TEST_CASE("a connection at its limit of requests is not read and not closed") {
   HttpServerOptions options = options_with_body_limit(1024);
-  options.requests_side_by_side = 3;
+  options.max_concurrent_requests = 3;
   SideBySideServer held(options);
   constexpr std::size_t kAll = 20'000;  // more than one read and than the bytes that are buffered
   std::string all;
@@ -333,7 +333,7 @@
 
 TEST_CASE("a client that disconnects is detected while its connection is not read") {
   HttpServerOptions options = options_with_body_limit(1024);
-  options.requests_side_by_side = 2;
+  options.max_concurrent_requests = 2;
   SideBySideServer held(options);
   // More than one read but less than the kernel's buffers hold, so that the client's close is
   // received behind it.
