--- a/src/router/core/router_core.cpp
+++ b/src/router/core/router_core.cpp
@@ -319,7 +319,7 @@
 void RouterCore::report_stated_departures(routing::RouterHello& hello) const {
   stated_departures_.for_each([&](BackendId id) {
     const routing::BackendRoute* route = table_.find_backend(id);
-    const bool is_unreported = route != nullptr && route->takes_work();
+    const bool is_unreported = route != nullptr && route->accepts_work();
     if (is_unreported && hello.leaving.size() < options_.maximum_reported_ended) {
       hello.leaving.push_back(id);
     }
--- a/src/router/core/router_core_answers.cpp
+++ b/src/router/core/router_core_answers.cpp
@@ -65,7 +65,7 @@
                                          const AttemptResult& result) {
   const routing::BackendRoute* backend = table_.find_backend(attempt.backend);
   if (!result.is_leaving || backend == nullptr ||
-      !stated_departures_.on_stated(now, attempt.backend) || !backend->takes_work()) {
+      !stated_departures_.on_stated(now, attempt.backend) || !backend->accepts_work()) {
     return;
   }
   ++counters_.stated_departures;
--- a/src/router/core/router_core_table.cpp
+++ b/src/router/core/router_core_table.cpp
@@ -92,24 +92,24 @@
 
 std::vector<Departure> RouterCore::departures_in(TimePoint now,
                                                  const routing::TableUpdate& update) const {
-  std::map<BackendId, bool> takes_work;  // after the last delta of the update
+  std::map<BackendId, bool> accepts_work;  // after the last delta of the update
   for (const routing::TableDelta& delta : update.deltas) {
     if (delta.is_snapshot) {
       for (const auto& item : table_.backends()) {
-        takes_work[item.first] = false;
+        accepts_work[item.first] = false;
       }
     }
     for (const routing::BackendRoute& backend : delta.backends) {
-      takes_work[backend.id] = backend.takes_work();
+      accepts_work[backend.id] = backend.accepts_work();
     }
     for (const BackendId id : delta.removed_backends) {
-      takes_work[id] = false;
+      accepts_work[id] = false;
     }
   }
   std::vector<Departure> departures;
-  for (const auto& [id, takes] : takes_work) {
+  for (const auto& [id, takes] : accepts_work) {
     const routing::BackendRoute* present = table_.find_backend(id);
-    if (!takes && present != nullptr && present->takes_work()) {
+    if (!takes && present != nullptr && present->accepts_work()) {
       departures.push_back(
           {id, present->address, present->incarnation, freshness_.age(now), update.current_index});
     }
@@ -123,7 +123,7 @@
     writes_.on_leaving(departure.backend, known_until);
   }
   for (const auto& [id, backend] : table_.backends()) {
-    if (backend.takes_work()) {
+    if (backend.accepts_work()) {
       writes_.on_accepting_work(id);
     } else {
       writes_.on_leaving(id, std::nullopt);  // no effect if it was already leaving
--- a/src/router/core/router_core_targets.cpp
+++ b/src/router/core/router_core_targets.cpp
@@ -83,9 +83,9 @@
                                       const routing::RoutedTableService& service) const {
   const auto is_limited_or_unavailable = [&](BackendId id) {
     const routing::BackendRoute* backend = table_.find_backend(id);
-    const bool takes_work =
+    const bool accepts_work =
         backend != nullptr && !has_ended(now, id) && !is_closed(now, request, *backend);
-    return !takes_work || limited_.is_limited(id);
+    return !accepts_work || limited_.is_limited(id);
   };
   if (request.keyed) {
     const BackendId owner = table_.routes().owner_of(request.service, request.key);
@@ -199,7 +199,7 @@
   std::vector<routing::ZonedTarget> available;
   for (const BackendId id : service.targets) {
     const routing::BackendRoute* route = table_.find_backend(id);
-    if (route->takes_work() && !table_.is_evacuated(*route)) {
+    if (route->accepts_work() && !table_.is_evacuated(*route)) {
       available.push_back({id, route->zone == options_.zone});
     }
   }
--- a/src/routing/table_messages.hpp
+++ b/src/routing/table_messages.hpp
@@ -35,7 +35,7 @@
   bool self_registered = false;
   bool ended = false;  ///< its address has another incarnation: gets no requests
   /// True if the back end may get requests.
-  bool takes_work() const { return !draining && !ended; }
+  bool accepts_work() const { return !draining && !ended; }
   MSGPACK_DEFINE_ARRAY(id, machine, address, zone, incarnation, draining, pool, slots, cold,
                        self_registered, ended)
 };
