--- a/test/platform/soak/clients.cpp
+++ b/test/platform/soak/clients.cpp
@@ -14,11 +14,11 @@
 
 constexpr Duration kAnswerTimeout = std::chrono::milliseconds(4000);
 /// Arrivals read within this time after a stall of this process may have arrived earlier.
-constexpr Duration kAfterStall = std::chrono::milliseconds(200);
+constexpr Duration kStallTolerance = std::chrono::milliseconds(200);
 /// Limits of the connections to all routers together and to each router.
-constexpr std::size_t kMostConnections = 4000;
-constexpr std::size_t kFewestConnections = 4;
-constexpr std::size_t kMostAtOne = 64;
+constexpr std::size_t kMaxConnections = 4000;
+constexpr std::size_t kMinConnectionsPerServer = 4;
+constexpr std::size_t kMaxConnectionsPerServer = 64;
 constexpr double kUnsafeShare = 0.2;
 constexpr double kChangingShare = 0.5;
 /// Pipelines use a separate random engine, so they don't change the other draws of a seed.
@@ -28,7 +28,7 @@
 /// Exceeds the number of requests that a router processes concurrently for one connection.
 constexpr int kPipelineLength = 12;
 
-bool is_promise(unsigned status) {
+bool is_refusal(unsigned status) {
   return status == platform::kStatusTooManyRequests || status == platform::kStatusUnavailable ||
          status == platform::kStatusRequestTimeout || status == platform::kStatusMisdirected;
 }
@@ -48,8 +48,8 @@
       random_(seed),
       pipeline_random_(seed + kPipelineSeed),
       client_({.connections_per_server =
-                   std::clamp<std::size_t>(kMostConnections / processes.of(Role::kRouter).size(),
-                                           kFewestConnections, kMostAtOne)}) {}
+                   std::clamp<std::size_t>(kMaxConnections / processes.of(Role::kRouter).size(),
+                                           kMinConnectionsPerServer, kMaxConnectionsPerServer)}) {}
 
 void Clients::send(TimePoint now, int count) {
   const auto routers = processes_.of(Role::kRouter);
@@ -94,7 +94,7 @@
                        std::optional<std::size_t> route,
                        const std::function<void(unsigned)>& done) {
   const Process& process = processes_.all()[router];
-  const std::string id = remember(now, router, path, safe, route);
+  const std::string id = record_request(now, router, path, safe, route);
   transport::HttpRequest request;
   request.method = safe ? "GET" : "POST";
   request.address = process.address;
@@ -111,8 +111,8 @@
   });
 }
 
-std::string Clients::remember(TimePoint now, std::size_t router, const std::string& path, bool safe,
-                              std::optional<std::size_t> route) {
+std::string Clients::record_request(TimePoint now, std::size_t router, const std::string& path,
+                                    bool safe, std::optional<std::size_t> route) {
   std::string id = "q" + std::to_string(next_++);
   Request record;
   record.router = router;
@@ -131,7 +131,7 @@
   for (int i = 0; i < kPipelineLength; ++i) {
     const bool safe = !common::chance(pipeline_random_, kUnsafeShare);
     const std::string path = safe ? Operator::kSafePath : Operator::kUnsafePath;
-    const std::string id = remember(now, router, path, safe, std::nullopt);
+    const std::string id = record_request(now, router, path, safe, std::nullopt);
     counts_.pipelined += i > 0 ? 1 : 0;
     const transport::HeaderList headers = {{"Host", Operator::kHost},
                                            {platform::kRequestIdHeader, id},
@@ -146,57 +146,59 @@
 void Clients::on_answer(const std::string& id, const transport::HttpResponse& response) {
   Request& request = requests_.at(id);
   const unsigned status = response.status;
-  request.was_promised = is_promise(status);
+  request.was_refused = is_refusal(status);
   counts_.served += status == platform::kStatusOk ? 1 : 0;
-  counts_.refused += request.was_promised ? 1 : 0;
-  counts_.not_there += status == platform::kStatusNotFound ? 1 : 0;
+  counts_.refused += request.was_refused ? 1 : 0;
+  counts_.not_found += status == platform::kStatusNotFound ? 1 : 0;
   const bool is_known =
-      status == platform::kStatusOk || request.was_promised || status == platform::kStatusNotFound;
+      status == platform::kStatusOk || request.was_refused || status == platform::kStatusNotFound;
   counts_.other += is_known ? 0 : 1;
   if (status == platform::kStatusOk &&
       (response.header(platform::kSealHeader) != "seal-" + id || response.body != "ran " + id)) {
-    violate("MIXED", id, request, "got the answer " + response.body);
+    record_violation("MIXED", id, request, "got the answer " + response.body);
   }
-  const bool is_denied = status >= 400 && status < 500 && !request.was_promised;
+  const bool is_denied = status >= 400 && status < 500 && !request.was_refused;
   if (is_denied && !request.route.has_value()) {
-    violate("DENIED", id, request, "status " + std::to_string(status));
+    record_violation("DENIED", id, request, "status " + std::to_string(status));
   }
   if (request.route.has_value()) {
-    judge_route(id, request, status);
+    check_route(id, request, status);
   }
-  judge_cut(id, request, response);
+  check_connection_loss(id, request, response);
 }
 
-void Clients::judge_route(const std::string& id, const Request& request, unsigned status) {
+void Clients::check_route(const std::string& id, const Request& request, unsigned status) {
   const ChangingRoute& route = changes_.routes()[*request.route];
   const TimePoint now = boot_time_now();
   const auto limit = bound(processes_.all()[request.router], request.sent, now);
   if (!limit.has_value()) {
     return;
   }
-  const bool must_be_there =
+  const bool must_be_present =
       route.added.has_value() && !route.removal_sent && request.sent > *route.added + *limit;
-  const bool must_be_gone = route.removed.has_value() && request.sent > *route.removed + *limit;
-  counts_.judged_added += must_be_there ? 1 : 0;
-  counts_.judged_removed += must_be_gone ? 1 : 0;
-  if (must_be_there && status == platform::kStatusNotFound) {
-    violate("CONFIG", id, request,
-            "no such route " + ms(request.sent - *route.added) + " after its acknowledgement");
+  const bool must_be_absent = route.removed.has_value() && request.sent > *route.removed + *limit;
+  counts_.checked_added += must_be_present ? 1 : 0;
+  counts_.checked_removed += must_be_absent ? 1 : 0;
+  if (must_be_present && status == platform::kStatusNotFound) {
+    record_violation(
+        "CONFIG", id, request,
+        "no such route " + ms(request.sent - *route.added) + " after its acknowledgement");
   }
-  if (must_be_gone && status == platform::kStatusOk) {
-    violate("CONFIG", id, request,
-            "served " + ms(request.sent - *route.removed) + " after the removal's acknowledgement");
+  if (must_be_absent && status == platform::kStatusOk) {
+    record_violation(
+        "CONFIG", id, request,
+        "served " + ms(request.sent - *route.removed) + " after the removal's acknowledgement");
   }
 }
 
-void Clients::judge_cut(const std::string& id, const Request& request,
-                        const transport::HttpResponse& response) {
+void Clients::check_connection_loss(const std::string& id, const Request& request,
+                                    const transport::HttpResponse& response) {
   const Process& router = processes_.all()[request.router];
   const bool is_same = router.pid == request.router_pid && router.pid > 0;
   // A reused connection may have been closed while the request was in flight.
   const bool is_cut = !response.is_whole() && response.was_sent && !response.used_before;
   if (is_cut && is_same && router.terminating && !router.paused) {
-    violate("LOST", id, request, "cut beside a planned stop: " + response.error.message);
+    record_violation("LOST", id, request, "cut beside a planned stop: " + response.error.message);
   }
 }
 
@@ -206,11 +208,11 @@
   if (!Processes::was_quiet(router, now, span)) {
     return std::nullopt;
   }
-  if (processes_.core_was_quiet(now, span)) {
+  if (processes_.controllers_were_quiet(now, span)) {
     return promises_.change;
   }
   const Duration longer = span + promises_.change + promises_.stretch;
-  return processes_.core_had_majority(now, longer)
+  return processes_.controllers_had_majority(now, longer)
              ? std::optional(promises_.change + promises_.stretch)
              : std::nullopt;
 }
@@ -224,36 +226,38 @@
   Request& request = found->second;
   ++request.runs;
   if (!request.safe && request.runs > 1) {
-    violate("TWICE", arrival.request, request, "ran " + std::to_string(request.runs) + " times");
+    record_violation("TWICE", arrival.request, request,
+                     "ran " + std::to_string(request.runs) + " times");
   }
-  const bool was_read_late = arrival.when < stalled_until_ + kAfterStall;
+  const bool was_read_late = arrival.when < stalled_until_ + kStallTolerance;
   if (!arrival.leaving_since.has_value() || was_read_late) {
     return;
   }
   const Process& router = processes_.all()[request.router];
   const Duration span = promises_.contact + (arrival.when - request.sent);
   if (!Processes::was_quiet(router, arrival.when, span) ||
-      !processes_.core_was_quiet(arrival.when, span)) {
+      !processes_.controllers_were_quiet(arrival.when, span)) {
     return;
   }
-  ++counts_.judged_leaving;
+  ++counts_.checked_leaving;
   if (arrival.when > *arrival.leaving_since + promises_.change) {
-    violate("DRAIN", arrival.request, request,
-            "reached " + arrival.instance + " " + ms(arrival.when - *arrival.leaving_since) +
-                " after its leaving was acknowledged");
+    record_violation("DRAIN", arrival.request, request,
+                     "reached " + arrival.instance + " " +
+                         ms(arrival.when - *arrival.leaving_since) +
+                         " after its leaving was acknowledged");
   }
 }
 
-void Clients::judge_end() {
+void Clients::check_at_end() {
   for (const auto& [id, request] : requests_) {
-    if (!request.safe && request.was_promised && request.runs > 0) {
-      violate("REFUSED", id, request, "was told that it has not run, and ran");
+    if (!request.safe && request.was_refused && request.runs > 0) {
+      record_violation("REFUSED", id, request, "was told that it has not run, and ran");
     }
   }
 }
 
-void Clients::violate(const std::string& rule, const std::string& id, const Request& request,
-                      const std::string& what) {
+void Clients::record_violation(const std::string& rule, const std::string& id,
+                               const Request& request, const std::string& what) {
   violations_.push_back(rule + " " + id + " " + request.path + " at " +
                         processes_.all()[request.router].name + ": " + what);
 }
--- a/test/platform/soak/clients.hpp
+++ b/test/platform/soak/clients.hpp
@@ -20,13 +20,13 @@
 struct ClientCounts {
   std::uint64_t sent = 0;
   std::uint64_t served = 0;
-  std::uint64_t refused = 0;         ///< with the guarantee that the request was not executed
-  std::uint64_t not_there = 0;       ///< no such route
-  std::uint64_t other = 0;           ///< other failures, or no response
-  std::uint64_t judged_added = 0;    ///< requests checked against a route that had to be in force
-  std::uint64_t judged_removed = 0;  ///< requests checked against a route that had to be gone
-  std::uint64_t pipelined = 0;       ///< sent without waiting for the previous response
-  std::uint64_t judged_leaving = 0;  ///< checked arrivals at draining targets (acknowledged)
+  std::uint64_t refused = 0;          ///< with the guarantee that the request was not executed
+  std::uint64_t not_found = 0;        ///< no such route
+  std::uint64_t other = 0;            ///< other failures, or no response
+  std::uint64_t checked_added = 0;    ///< requests checked against a route that had to be in force
+  std::uint64_t checked_removed = 0;  ///< requests checked against a route that had to be gone
+  std::uint64_t pipelined = 0;        ///< sent without waiting for the previous response
+  std::uint64_t checked_leaving = 0;  ///< checked arrivals at draining targets (acknowledged)
 };
 
 class Clients {
@@ -44,7 +44,7 @@
   /// the time at which they were read, which may be late after a stall.
   void on_stall(TimePoint to) { stalled_until_ = to; }
   /// Runs the checks that need the complete run.
-  void judge_end();
+  void check_at_end();
 
   const ClientCounts& counts() const { return counts_; }
   const std::vector<std::string>& violations() const { return violations_; }
@@ -57,7 +57,7 @@
     bool safe = true;
     std::optional<std::size_t> route;  ///< index of a changing route; empty: a permanent route
     TimePoint sent;
-    bool was_promised = false;  ///< the response guarantees that it was not executed
+    bool was_refused = false;  ///< the response guarantees that it was not executed
     int runs = 0;
   };
 
@@ -66,17 +66,17 @@
   /// Sends several pipelined requests on one connection: mostly safe ones, mixed with unsafe ones
   /// that may be executed only once.
   void send_pipeline(TimePoint now, std::size_t router);
-  std::string remember(TimePoint now, std::size_t router, const std::string& path, bool safe,
-                       std::optional<std::size_t> route);
+  std::string record_request(TimePoint now, std::size_t router, const std::string& path, bool safe,
+                             std::optional<std::size_t> route);
   void on_answer(const std::string& id, const transport::HttpResponse& response);
-  void judge_route(const std::string& id, const Request& request, unsigned status);
-  void judge_cut(const std::string& id, const Request& request,
-                 const transport::HttpResponse& response);
+  void check_route(const std::string& id, const Request& request, unsigned status);
+  void check_connection_loss(const std::string& id, const Request& request,
+                             const transport::HttpResponse& response);
   /// Returns how long after its acknowledgement a change must be in force at this router, or
   /// nothing if no bound applies.
   std::optional<Duration> bound(const Process& router, TimePoint since, TimePoint now) const;
-  void violate(const std::string& rule, const std::string& id, const Request& request,
-               const std::string& what);
+  void record_violation(const std::string& rule, const std::string& id, const Request& request,
+                        const std::string& what);
 
   const Processes& processes_;
   const Operator& changes_;
--- a/test/platform/soak/main.cpp
+++ b/test/platform/soak/main.cpp
@@ -26,7 +26,7 @@
 constexpr Duration kStartTimeout = milliseconds(20'000);
 /// Time without faults before recovery is checked, and the time limit after that for every router
 /// to serve.
-constexpr Duration kCalm = milliseconds(6'000);
+constexpr Duration kSettle = milliseconds(6'000);
 constexpr Duration kRecovery = milliseconds(20'000);
 
 struct SoakOptions {
@@ -37,7 +37,7 @@
   std::uint64_t last_seed = 1;
   int seconds = 30;
   int requests_per_second = 300;
-  double troubles_per_second = 1.0;
+  double faults_per_second = 1.0;
 };
 
 class Soak {
@@ -63,7 +63,7 @@
     processes_.start_all(began_);
     loop_.every(kTick, [this] { tick(); });
     loop_.run();
-    clients_.judge_end();
+    clients_.check_at_end();
     processes_.end_all();
     std::vector<std::string> all = clients_.violations();
     all.insert(all.end(), operator_.violations().begin(), operator_.violations().end());
@@ -74,16 +74,16 @@
   void print_counts(std::uint64_t seed) const {
     const ClientCounts& counts = clients_.counts();
     std::cout << "seed " << seed << ": sent " << counts.sent << ", served " << counts.served
-              << ", refused " << counts.refused << ", no route " << counts.not_there << ", other "
+              << ", refused " << counts.refused << ", no route " << counts.not_found << ", other "
               << counts.other << ", pipelined " << counts.pipelined << "; judged added "
-              << counts.judged_added << ", removed " << counts.judged_removed << ", leaving "
-              << counts.judged_leaving << "; changes " << operator_.acknowledged()
+              << counts.checked_added << ", removed " << counts.checked_removed << ", leaving "
+              << counts.checked_leaving << "; changes " << operator_.acknowledged()
               << ", heartbeats " << targets_.heartbeats_acknowledged() << ", leavings "
-              << targets_.leavings_acknowledged() << ", troubles " << troubles_ << std::endl;
+              << targets_.leavings_acknowledged() << ", troubles " << faults_ << std::endl;
   }
 
  private:
-  enum class Phase { kStarting, kTrouble, kCalm, kRecovering, kDone };
+  enum class Phase { kStarting, kFaults, kSettling, kRecovering, kDone };
   struct Restart {
     std::size_t process;
     TimePoint when;
@@ -109,16 +109,16 @@
     }
     restart_due(now);
     targets_.tick(now);
-    operator_.tick(now, phase_ != Phase::kRecovering || routes_to_see_.empty());
+    operator_.tick(now, phase_ != Phase::kRecovering || routes_to_check_.empty());
     switch (phase_) {
       case Phase::kStarting:
         return await_start(now);
-      case Phase::kTrouble:
+      case Phase::kFaults:
         send(now);
-        return cause_trouble(now);
-      case Phase::kCalm:
+        return inject_fault(now);
+      case Phase::kSettling:
         send(now);
-        if (now >= calm_until_ && restarts_.empty()) {
+        if (now >= settle_until_ && restarts_.empty()) {
           enter(Phase::kRecovering, now);
         }
         return;
@@ -142,9 +142,9 @@
     }
     if (operator_.has_first_configuration() && !is_asking_) {
       ask_all(Operator::kSafePath, [this] {
-        next_trouble_ = boot_time_now();
-        trouble_until_ = next_trouble_ + std::chrono::seconds(options_.seconds);
-        enter(Phase::kTrouble, next_trouble_);
+        next_fault_ = boot_time_now();
+        faults_until_ = next_fault_ + std::chrono::seconds(options_.seconds);
+        enter(Phase::kFaults, next_fault_);
       });
     }
   }
@@ -170,18 +170,17 @@
     requests_due_ -= static_cast<int>(requests_due_);
   }
 
-  void cause_trouble(TimePoint now) {
-    if (now >= trouble_until_) {
-      calm_until_ = now + kCalm;
-      return enter(Phase::kCalm, now);
+  void inject_fault(TimePoint now) {
+    if (now >= faults_until_) {
+      settle_until_ = now + kSettle;
+      return enter(Phase::kSettling, now);
     }
-    if (now < next_trouble_) {
+    if (now < next_fault_) {
       return;
     }
-    const double wait =
-        -std::log(1.0 - common::uniform_real(random_)) / options_.troubles_per_second;
-    next_trouble_ = now + milliseconds(static_cast<int>(wait * 1000));
-    ++troubles_;
+    const double wait = -std::log(1.0 - common::uniform_real(random_)) / options_.faults_per_second;
+    next_fault_ = now + milliseconds(static_cast<int>(wait * 1000));
+    ++faults_;
     constexpr std::uint64_t kKinds = 10;
     switch (common::uniform(random_, 0, kKinds - 1)) {
       case 0:
@@ -193,13 +192,13 @@
       case 3:
         return pause_for(now, pick(Role::kController), 200, 3000);
       case 4:
-        return stop_as_planned(now, pick(Role::kRouter));
+        return stop_gracefully(now, pick(Role::kRouter));
       case 5:
         return processes_.signal(now, pick(Role::kRouter), SIGHUP);
       case 6:
         return kill_all_controllers(now);
       default:
-        return leave_some(now);
+        return drain_some(now);
     }
   }
 
@@ -210,25 +209,25 @@
   Duration between(std::uint64_t low_ms, std::uint64_t high_ms) {
     return milliseconds(common::uniform(random_, low_ms, high_ms));
   }
-  bool is_touched(std::size_t process) const {
+  bool is_affected(std::size_t process) const {
     return processes_.all()[process].pid == 0 ||
            std::any_of(restarts_.begin(), restarts_.end(),
                        [&](const Restart& restart) { return restart.process == process; });
   }
   void kill_for(TimePoint now, std::size_t process, std::uint64_t low, std::uint64_t high) {
-    if (!is_touched(process)) {
+    if (!is_affected(process)) {
       processes_.signal(now, process, SIGKILL);
       restarts_.push_back({process, now + between(low, high), 0});
     }
   }
   void pause_for(TimePoint now, std::size_t process, std::uint64_t low, std::uint64_t high) {
-    if (!is_touched(process)) {
+    if (!is_affected(process)) {
       processes_.signal(now, process, SIGSTOP);
       restarts_.push_back({process, now + between(low, high), SIGCONT});
     }
   }
-  void stop_as_planned(TimePoint now, std::size_t process) {
-    if (!is_touched(process)) {
+  void stop_gracefully(TimePoint now, std::size_t process) {
+    if (!is_affected(process)) {
       processes_.signal(now, process, SIGTERM);
       restarts_.push_back({process, now + promises_.grace, 0});
     }
@@ -238,9 +237,9 @@
       kill_for(now, i, 200, 1000);
     }
   }
-  void leave_some(TimePoint now) {
+  void drain_some(TimePoint now) {
     for (std::uint64_t left = common::uniform(random_, 1, 3); left > 0; --left) {
-      targets_.leave_one(now);
+      targets_.drain_one(now);
     }
   }
 
@@ -280,13 +279,13 @@
     if (is_asking_) {
       return;
     }
-    if (routes_to_see_.empty()) {
-      routes_to_see_ = {Operator::kSafePath, Operator::kUnsafePath};
+    if (routes_to_check_.empty()) {
+      routes_to_check_ = {Operator::kSafePath, Operator::kUnsafePath};
     }
     if (operator_.is_idle()) {
-      ask_all(routes_to_see_.back(), [this] {
-        routes_to_see_.pop_back();
-        if (routes_to_see_.empty()) {
+      ask_all(routes_to_check_.back(), [this] {
+        routes_to_check_.pop_back();
+        if (routes_to_check_.empty()) {
           enter(Phase::kDone, boot_time_now());
         }
       });
@@ -306,15 +305,15 @@
   TimePoint entered_;
   TimePoint last_tick_;
   TimePoint sent_until_ = boot_time_now();
-  TimePoint next_trouble_;
-  TimePoint trouble_until_;
-  TimePoint calm_until_;
+  TimePoint next_fault_;
+  TimePoint faults_until_;
+  TimePoint settle_until_;
   double requests_due_ = 0;
   bool is_asking_ = false;
   std::size_t last_served_ = 0;
-  std::uint64_t troubles_ = 0;
+  std::uint64_t faults_ = 0;
   std::vector<Restart> restarts_;
-  std::vector<std::string> routes_to_see_;
+  std::vector<std::string> routes_to_check_;
   std::vector<std::string> failures_;
 };
 
@@ -322,12 +321,12 @@
   Soak soak(options, seed);
   const std::vector<std::string> violations = soak.run();
   soak.print_counts(seed);
-  constexpr std::size_t kMostPrinted = 20;
-  for (std::size_t i = 0; i < std::min(violations.size(), kMostPrinted); ++i) {
+  constexpr std::size_t kMaxPrinted = 20;
+  for (std::size_t i = 0; i < std::min(violations.size(), kMaxPrinted); ++i) {
     std::cout << "  broken: " << violations[i] << "\n";
   }
-  if (violations.size() > kMostPrinted) {
-    std::cout << "  and " << violations.size() - kMostPrinted << " more" << std::endl;
+  if (violations.size() > kMaxPrinted) {
+    std::cout << "  and " << violations.size() - kMaxPrinted << " more" << std::endl;
   }
   return violations.empty();
 }
@@ -351,7 +350,7 @@
   app.add_option("--targets", options.size.targets, "Targets")->check(CLI::Range(2, 1000));
   app.add_option("--requests", options.requests_per_second, "Requests a second")
       ->check(CLI::Range(1, 100'000));
-  app.add_option("--troubles", options.troubles_per_second, "Troubles a second, on average")
+  app.add_option("--troubles", options.faults_per_second, "Troubles a second, on average")
       ->check(CLI::Range(0.0, 100.0));
   CLI11_PARSE(app, argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
--- a/test/platform/soak/operator.cpp
+++ b/test/platform/soak/operator.cpp
@@ -17,7 +17,7 @@
 constexpr common::Duration kAnswerTimeout = std::chrono::milliseconds(1000);
 constexpr common::Duration kPause = std::chrono::milliseconds(50);
 /// Maximum number of changing routes in force at the same time.
-constexpr std::size_t kMostRoutes = 12;
+constexpr std::size_t kMaxRoutes = 12;
 
 json route(const std::string& name, const std::string& path, const std::string& service,
            bool safe) {
@@ -49,9 +49,9 @@
 Operator::Operator(std::vector<std::string> controllers, std::uint64_t seed)
     : controllers_(std::move(controllers)), random_(seed), client_({}) {}
 
-void Operator::tick(TimePoint now, bool may_begin) {
+void Operator::tick(TimePoint now, bool may_start) {
   if (!change_.has_value()) {
-    if (!may_begin || now < next_change_) {
+    if (!may_start || now < next_change_) {
       return;
     }
     begin_change();
@@ -84,7 +84,7 @@
     const auto oldest = std::find_if(routes_.begin(), routes_.end(), in_force);
     const auto count =
         static_cast<std::size_t>(std::count_if(routes_.begin(), routes_.end(), in_force));
-    if (count >= kMostRoutes) {
+    if (count >= kMaxRoutes) {
       change.removes = static_cast<std::size_t>(oldest - routes_.begin());
       oldest->removal_sent = true;
       body["remove"] = {{"routes", {"r" + std::to_string(*change.removes)}}};
--- a/test/platform/soak/operator.hpp
+++ b/test/platform/soak/operator.hpp
@@ -32,7 +32,7 @@
   Operator(std::vector<std::string> controllers, std::uint64_t seed);
 
   /// Begins the next change if none is pending and one is due; resends an unacknowledged change.
-  void tick(TimePoint now, bool may_begin);
+  void tick(TimePoint now, bool may_start);
   bool has_first_configuration() const { return acknowledged_ > 0; }
   bool is_idle() const { return !change_.has_value(); }
   std::uint64_t acknowledged() const { return acknowledged_; }
--- a/test/platform/soak/processes.cpp
+++ b/test/platform/soak/processes.cpp
@@ -111,7 +111,7 @@
   process.pid = pid;
   process.paused = false;
   process.terminating = false;
-  process.last_trouble = now;
+  process.last_fault = now;
 }
 
 void Processes::signal(TimePoint now, std::size_t number, int signal_number) {
@@ -120,7 +120,7 @@
     return;
   }
   kill(process.pid, signal_number);
-  process.last_trouble = now;
+  process.last_fault = now;
   process.paused = signal_number == SIGSTOP || (process.paused && signal_number != SIGCONT);
   process.terminating = process.terminating || signal_number == SIGTERM;
 }
@@ -137,7 +137,7 @@
       ended.push_back(process.name + " with status " + std::to_string(status));
     }
     process.pid = 0;
-    process.last_trouble = now;
+    process.last_fault = now;
   }
   return ended;
 }
@@ -164,16 +164,16 @@
 
 bool Processes::was_quiet(const Process& process, TimePoint now, Duration length) {
   return process.pid > 0 && !process.paused && !process.terminating &&
-         now - process.last_trouble > length;
+         now - process.last_fault > length;
 }
 
-bool Processes::core_was_quiet(TimePoint now, Duration length) const {
+bool Processes::controllers_were_quiet(TimePoint now, Duration length) const {
   return std::all_of(processes_.begin(), processes_.end(), [&](const Process& process) {
     return process.role != Role::kController || was_quiet(process, now, length);
   });
 }
 
-bool Processes::core_had_majority(TimePoint now, Duration length) const {
+bool Processes::controllers_had_majority(TimePoint now, Duration length) const {
   const auto controllers = of(Role::kController);
   const auto quiet = std::count_if(controllers.begin(), controllers.end(), [&](std::size_t i) {
     return was_quiet(processes_[i], now, length);
--- a/test/platform/soak/processes.hpp
+++ b/test/platform/soak/processes.hpp
@@ -40,7 +40,7 @@
   pid_t pid = 0;        ///< 0: not running
   bool paused = false;
   bool terminating = false;
-  TimePoint last_trouble;  ///< the last signal, exit or start
+  TimePoint last_fault;  ///< the last signal, exit or start
 };
 
 class Processes {
@@ -64,9 +64,9 @@
   /// Returns whether the process has run without a fault for `length`.
   static bool was_quiet(const Process& process, TimePoint now, Duration length);
   /// Returns whether all controllers have been quiet for `length`.
-  bool core_was_quiet(TimePoint now, Duration length) const;
+  bool controllers_were_quiet(TimePoint now, Duration length) const;
   /// Returns whether a majority of the controllers has been quiet for `length`.
-  bool core_had_majority(TimePoint now, Duration length) const;
+  bool controllers_had_majority(TimePoint now, Duration length) const;
   const std::string& network() const { return network_; }
 
  private:
--- a/test/platform/soak/targets.cpp
+++ b/test/platform/soak/targets.cpp
@@ -13,8 +13,8 @@
 
 constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(500);
 constexpr Duration kAnswerTimeout = std::chrono::milliseconds(1000);
-constexpr Duration kServesOn = std::chrono::milliseconds(4000);
-constexpr Duration kGone = std::chrono::milliseconds(2000);
+constexpr Duration kDrainTime = std::chrono::milliseconds(4000);
+constexpr Duration kAbsence = std::chrono::milliseconds(2000);
 /// Short, since all targets share the file descriptors of one process and every router may keep
 /// connections to each target.
 constexpr Duration kIdleTimeout = std::chrono::milliseconds(1000);
@@ -93,15 +93,15 @@
       target->leaving_since.reset();
       target->awaits_answer = false;
     }
-    if (target->leaving_since.has_value() && now > *target->leaving_since + kServesOn) {
-      say_goodbye(now, *target);
+    if (target->leaving_since.has_value() && now > *target->leaving_since + kDrainTime) {
+      deregister(now, *target);
     } else if (now >= target->next_heartbeat && !target->awaits_answer) {
       send_heartbeat(now, *target);
     }
   }
 }
 
-void Targets::leave_one(TimePoint now) {
+void Targets::drain_one(TimePoint now) {
   const std::size_t first = common::uniform(random_, 0, targets_.size() - 1);
   std::map<std::string, int> staying;
   for (const auto& target : targets_) {
@@ -139,13 +139,14 @@
   request.headers = {{"Content-Type", "application/json"}};
   request.body = body.dump();
   request.timeout = kAnswerTimeout;
-  client_.send(std::move(request), [this, &target, life = target.life, said = target.draining](
-                                       const transport::HttpResponse& response) {
-    on_answer(target, life, said, response);
-  });
+  client_.send(std::move(request),
+               [this, &target, life = target.life,
+                sent_draining = target.draining](const transport::HttpResponse& response) {
+                 on_answer(target, life, sent_draining, response);
+               });
 }
 
-void Targets::on_answer(Target& target, int life, bool said_draining,
+void Targets::on_answer(Target& target, int life, bool sent_draining,
                         const transport::HttpResponse& response) {
   if (life != target.life || target.gone_until.has_value()) {
     return;
@@ -166,20 +167,20 @@
   if (body.is_object()) {
     target.next_controller = body.value(platform::kNextHeartbeatField, "");
   }
-  if (said_draining && !target.leaving_since.has_value()) {
+  if (sent_draining && !target.leaving_since.has_value()) {
     ++leavings_;
     target.leaving_since = boot_time_now();
   }
 }
 
-void Targets::say_goodbye(TimePoint now, Target& target) {
+void Targets::deregister(TimePoint now, Target& target) {
   transport::HttpRequest request;
   request.method = "POST";
   request.address = any_controller();
   request.target = platform::kInstancesPrefix + target.instance + platform::kDeregisterSuffix;
   request.timeout = kAnswerTimeout;
   client_.send(std::move(request), [](const transport::HttpResponse& /*response*/) {});
-  target.gone_until = now + kGone;
+  target.gone_until = now + kAbsence;
 }
 
 }  // namespace planktray::soak
--- a/test/platform/soak/targets.hpp
+++ b/test/platform/soak/targets.hpp
@@ -38,7 +38,7 @@
   /// Sends due heartbeats; deregisters drained targets and starts their next incarnation.
   void tick(TimePoint now);
   /// Starts draining one target whose service keeps at least one other.
-  void leave_one(TimePoint now);
+  void drain_one(TimePoint now);
   std::uint64_t heartbeats_acknowledged() const { return acknowledged_; }
   std::uint64_t leavings_acknowledged() const { return leavings_; }
   static std::vector<std::string> services() { return {"first", "second"}; }
@@ -61,9 +61,9 @@
 
   void handle(Target& target, const transport::ExchangePointer& exchange);
   void send_heartbeat(TimePoint now, Target& target);
-  void on_answer(Target& target, int life, bool said_draining,
+  void on_answer(Target& target, int life, bool sent_draining,
                  const transport::HttpResponse& response);
-  void say_goodbye(TimePoint now, Target& target);
+  void deregister(TimePoint now, Target& target);
   const std::string& any_controller();
 
   std::vector<std::string> controllers_;
